--- a/flow/choice.c
+++ b/flow/choice.c
@@ -10,28 +10,28 @@
 #include <stdlib.h>
 
 /* Requests in progress that one open flow counts as. */
-#define FLOW_SHARE (1.0 / 16)
+#define FLOW_LOAD (1.0 / 16)
 /* Load factor of an upstream that warms up. */
 #define WARM_UP_FACTOR 2.0
 /* Largest load factor of a slow upstream: a few flows go on measuring it. */
 #define SLOW_FACTOR_MAX 8.0
 /* Below this share of the service's usual latency an upstream is taken to fail
  * requests fast; its load factor then. */
-#define FAST_SHARE 0.4
+#define FAST_FAIL_SHARE 0.4
 #define FAST_FAIL_PENALTY 4.0
 /* Age at which a latency average expires. */
-#define ANSWER_FRESH_MS 3000
+#define LATENCY_MAX_AGE_MS 3000
 /* In-flight requests per slot above which remote upstreams are eligible. */
-#define SPILL_BUSY 0.75
+#define SPILL_LOAD_MIN 0.75
 /* How much less busy a remote one must be, in the same unit: flows that cross
  * are lost when data centres lose each other. */
-#define SPILL_GAIN 0.5
+#define SPILL_LOAD_DIFF 0.5
 /* A service with more upstreams is sampled. */
 #define SCAN_MAX 24
-#define SAMPLES 12
+#define SAMPLE_SIZE 12
 /* An upstream whose announcement is gone may still be alive: announcements
  * also lapse while the store is away, and are back within two seconds. */
-#define LAPSE_MS 2000
+#define UNLISTED_GRACE_MS 2000
 
 /* Upstreams whose answer times make the service's usual one. */
 #define MEDIAN_MAX 64
@@ -39,7 +39,7 @@
 /* How well an upstream would do.  Lower is better. */
 typedef enum {
     TIER_GOOD,
-    TIER_LAPSED, /* not announced for a moment */
+    TIER_UNLISTED, /* not announced for a moment */
     TIER_SUSPECT,
     TIER_NONE /* must not be taken */
 } tier_t;
@@ -58,7 +58,7 @@
         u->refused > 0) {
         return TIER_NONE;
     }
-    if (!u->listed && now - u->unlisted_at >= LAPSE_MS) {
+    if (!u->listed && now - u->unlisted_at >= UNLISTED_GRACE_MS) {
         return TIER_NONE;
     }
     if (!warm_up_admits(f, now, u)) {
@@ -67,7 +67,7 @@
     if (u->reach == REACH_SUSPECT || u == exclude) {
         return TIER_SUSPECT;
     }
-    return u->listed ? TIER_GOOD : TIER_LAPSED;
+    return u->listed ? TIER_GOOD : TIER_UNLISTED;
 }
 
 /* Load factor by latency.  An upstream that fails requests fast looks idle and
@@ -78,18 +78,18 @@
     double x;
 
     if (u->answer_ms == 0 || u->service->answer_ms == 0 ||
-        now - u->answered_at > ANSWER_FRESH_MS) {
+        now - u->answered_at > LATENCY_MAX_AGE_MS) {
         return 1;
     }
     x = u->answer_ms / u->service->answer_ms;
-    if (x < FAST_SHARE) {
+    if (x < FAST_FAIL_SHARE) {
         return FAST_FAIL_PENALTY;
     }
     return x < 1 ? 1 : x > SLOW_FACTOR_MAX ? SLOW_FACTOR_MAX : x;
 }
 
 static double
-busy_share(const upstream_t *u)
+load_per_slot(const upstream_t *u)
 {
     return (double)u->busy / u->a.slots;
 }
@@ -97,14 +97,14 @@
 static double
 cost_of(const upstream_t *u, ms_t now)
 {
-    double load = 1 + u->busy + u->open * FLOW_SHARE + u->unanswered;
+    double load = 1 + u->busy + u->open * FLOW_LOAD + u->unanswered;
     double factor = now < u->warm_at ? WARM_UP_FACTOR : 1;
 
     return load / u->a.slots * factor * latency_penalty(u, now);
 }
 
 static bool
-better(const pick_t *a, const pick_t *b)
+is_better(const pick_t *a, const pick_t *b)
 {
     return a->tier != b->tier ? a->tier < b->tier : a->cost < b->cost;
 }
@@ -121,7 +121,7 @@
         upstream_t *u = group->up[at];
         pick_t p = {.up = u, .tier = tier_of(f, u, now, exclude)};
         p.cost = cost_of(u, now);
-        if (p.tier != TIER_NONE && (best.up == NULL || better(&p, &best))) {
+        if (p.tier != TIER_NONE && (best.up == NULL || is_better(&p, &best))) {
             best = p;
         }
         at = sampled ? rng_below(&f->rng, group->n) : (at + 1) % group->n;
@@ -138,7 +138,7 @@
     pick_t best = {.tier = TIER_NONE};
 
     if (group->n > SCAN_MAX) {
-        best = best_among(f, now, group, SAMPLES, true, exclude);
+        best = best_among(f, now, group, SAMPLE_SIZE, true, exclude);
     }
     /* A sample may hold none that may be taken although there are some. */
     return best.up != NULL
@@ -149,25 +149,27 @@
 /* The own data centre first: a flow that crosses is lost when data centres
  * lose each other.  Another only when it is clearly better for the caller. */
 static upstream_t *
-choose_of(flowset_t *f, ms_t now, const service_t *s,
-          const upstream_t *exclude)
+choose_in_service(flowset_t *f, ms_t now, const service_t *s,
+                  const upstream_t *exclude)
 {
-    pick_t near = best_of(f, now, &s->near, exclude);
-    pick_t far;
+    pick_t local = best_of(f, now, &s->local, exclude);
+    pick_t remote;
 
-    if (near.up != NULL && near.tier == TIER_GOOD &&
-        busy_share(near.up) < SPILL_BUSY) {
-        return near.up;
+    if (local.up != NULL && local.tier == TIER_GOOD &&
+        load_per_slot(local.up) < SPILL_LOAD_MIN) {
+        return local.up;
     }
-    far = best_of(f, now, &s->far, exclude);
-    if (near.up == NULL || far.up == NULL) {
-        return near.up != NULL ? near.up : far.up;
+    remote = best_of(f, now, &s->remote, exclude);
+    if (local.up == NULL || remote.up == NULL) {
+        return local.up != NULL ? local.up : remote.up;
     }
-    if (near.tier != far.tier) {
-        return near.tier < far.tier ? near.up : far.up;
+    if (local.tier != remote.tier) {
+        return local.tier < remote.tier ? local.up : remote.up;
     }
-    return busy_share(far.up) + SPILL_GAIN <= busy_share(near.up) ? far.up
-                                                                  : near.up;
+    return load_per_slot(remote.up) + SPILL_LOAD_DIFF <=
+                   load_per_slot(local.up)
+               ? remote.up
+               : local.up;
 }
 
 /* U, or where its group is full one of the other group that is not. */
@@ -175,7 +177,7 @@
 within_limits(flowset_t *f, ms_t now, service_t *s, upstream_t *u,
               uint32_t priority)
 {
-    group_t *other = u->local ? &s->far : &s->near;
+    group_t *other = u->local ? &s->remote : &s->local;
     pick_t pick;
 
     if (limit_admits(&u->group->limit, now, priority)) {
@@ -198,11 +200,11 @@
 
 /* Adds the averages of GROUP that are fresh to MS, from place N on. */
 static size_t
-gather(const group_t *group, ms_t now, double *ms, size_t n)
+collect_latencies(const group_t *group, ms_t now, double *ms, size_t n)
 {
     for (uint32_t i = 0; i < group->n && n < MEDIAN_MAX; i++) {
         const upstream_t *u = group->up[i];
-        if (u->answer_ms > 0 && now - u->answered_at <= ANSWER_FRESH_MS) {
+        if (u->answer_ms > 0 && now - u->answered_at <= LATENCY_MAX_AGE_MS) {
             ms[n++] = u->answer_ms;
         }
     }
@@ -213,9 +215,9 @@
 choice_sweep(service_t *s, ms_t now)
 {
     double ms[MEDIAN_MAX];
-    size_t n = gather(&s->near, now, ms, 0);
+    size_t n = collect_latencies(&s->local, now, ms, 0);
 
-    n = gather(&s->far, now, ms, n);
+    n = collect_latencies(&s->remote, now, ms, n);
     qsort(ms, n, sizeof(*ms), cmp_double);
     s->answer_ms = n > 0 ? ms[n / 2] : 0;
 }
@@ -245,7 +247,7 @@
 static bool
 has_warm_up(const flowset_t *f, const service_t *s, ms_t now)
 {
-    const group_t *groups[] = {&s->near, &s->far};
+    const group_t *groups[] = {&s->local, &s->remote};
 
     for (size_t k = 0; k < 2; k++) {
         for (uint32_t i = 0; i < groups[k]->n; i++) {
@@ -263,7 +265,7 @@
 {
     const flow_target_t *t = draw_target(f, r);
     service_t *s = t != NULL ? service_named(f, t->service) : NULL;
-    upstream_t *u = s != NULL ? choose_of(f, now, s, exclude) : NULL;
+    upstream_t *u = s != NULL ? choose_in_service(f, now, s, exclude) : NULL;
 
     if (u == NULL) {
         return (choice_t){.evacuated = s != NULL && s->n_evacuated > 0,
--- a/flow/decide.c
+++ b/flow/decide.c
@@ -3,7 +3,7 @@
 
 /* Weight of a new sample in the moving averages of the time to an answer: the
  * last five or so count. */
-#define SAMPLE_WEIGHT 0.2
+#define LATENCY_WEIGHT 0.2
 
 static const char *const reasons[FLOW_REASONS] = {
     [FLOW_BY_TAG] = "tag",
@@ -47,13 +47,13 @@
 }
 
 static void
-sample(double *average, double weight, double value)
+update_average(double *average, double weight, double value)
 {
     *average = *average == 0 ? value : *average + weight * (value - *average);
 }
 
 static void
-tell_limit(flowset_t *f, const upstream_t *u)
+emit_limit(flowset_t *f, const upstream_t *u)
 {
     const limit_t *l = &u->group->limit;
     flow_out_t out = {.kind = FLOW_OUT_LIMIT};
@@ -63,7 +63,7 @@
     out.limit.in_force = l->max_in_flight > 0;
     out.limit.busy = l->in_flight;
     out.limit.most = (uint32_t)l->max_in_flight;
-    out.limit.slow = l->slow;
+    out.limit.slow = l->tail_latency;
     out.limit.target = limit_target(&u->service->baseline);
     out.limit.refused = l->refused;
     f->spec.emit(f->spec.arg, &out);
@@ -71,30 +71,30 @@
 
 /* An answer's first acknowledgement. */
 static void
-answer_seen(flowset_t *f, ms_t now, record_t *r)
+on_answer(flowset_t *f, ms_t now, record_t *r)
 {
-    double ms = (double)(now - r->asked_at);
+    double ms = (double)(now - r->request_at);
 
     hist_add(&f->stats.answer_ms, (uint64_t)ms);
     if (r->idempotent) { /* uploads take as long as the caller sends */
-        sample(&r->up->answer_ms, SAMPLE_WEIGHT, ms + 1);
+        update_average(&r->up->answer_ms, LATENCY_WEIGHT, ms + 1);
         r->up->answered_at = now;
         if (r->goal_ms > 0 && limit_on_response(&r->up->group->limit, now,
                                                 &r->up->service->baseline,
                                                 ms / (double)r->goal_ms,
                                                 r->in_flight_at_start)) {
-            tell_limit(f, r->up);
+            emit_limit(f, r->up);
         }
     }
-    record_answered(r);
+    record_request_end(r);
 }
 
 /* A packet of a flow whose upstream is known. */
 static void
-follow(flowset_t *f, ms_t now, const flow_packet_t *p, record_t *r)
+track_flow(flowset_t *f, ms_t now, const flow_packet_t *p, record_t *r)
 {
     uint32_t end = p->seq + p->len;
-    bool fresh = (int32_t)(end - r->seq_end) > 0;
+    bool new_data = (int32_t)(end - r->seq_end) > 0;
     upstream_t *u = r->up;
 
     if (!r->open) {
@@ -102,28 +102,28 @@
         hist_add(&f->stats.open_ms, (uint64_t)(now - r->sent_at));
         r->seq_end = end - p->len;
         r->ack = p->ack;
-        fresh = p->len > 0;
+        new_data = p->len > 0;
         reach_alive(f, now - p->age_ms, u);
     }
     else if ((int32_t)(p->ack - r->ack) > 0) {
         r->ack = p->ack;
         reach_alive(f, now - p->age_ms, u);
-        if (r->asked_at != 0 && fresh) {
+        if (r->request_at != 0 && new_data) {
             /* It was answered at a time not known: the caller has paused. */
-            record_answered(r);
+            record_request_end(r);
         }
-        else if (r->asked_at != 0) {
-            answer_seen(f, now, r);
+        else if (r->request_at != 0) {
+            on_answer(f, now, r);
         }
     }
-    else if (p->len > 0 && !fresh && now - r->sent_at >= REPEAT_MIN_MS) {
+    else if (p->len > 0 && !new_data && now - r->sent_at >= REPEAT_MIN_MS) {
         reach_suspect(f, now, u, r->sent_at, "a retransmission");
     }
-    if (fresh) {
+    if (new_data) {
         r->seq_end = end;
         r->sent_at = now;
-        if (r->asked_at == 0 && p->len > 0) {
-            record_asked(f, r, now);
+        if (r->request_at == 0 && p->len > 0) {
+            record_request_begin(f, r, now);
         }
     }
 }
@@ -139,7 +139,8 @@
 /* May a flow be ended that its upstream can't be told of?  Only if the caller
  * may repeat what it asked for, and asks for something now. */
 static bool
-may_give_up(const flowset_t *f, const flow_packet_t *p, const upstream_t *u)
+may_reset_unreachable(const flowset_t *f, const flow_packet_t *p,
+                      const upstream_t *u)
 {
     const flow_route_t *route = route_find(f, &p->service);
 
@@ -148,7 +149,8 @@
 }
 
 static void
-take_later(flowset_t *f, ms_t now, const flow_packet_t *p, flow_decision_t *d)
+handle_packet(flowset_t *f, ms_t now, const flow_packet_t *p,
+              flow_decision_t *d)
 {
     upstream_t *u = upstream_by_tag(f, p->tag);
     record_t *r;
@@ -158,7 +160,7 @@
         return;
     }
     r = record_find(f, &p->caller, &p->service);
-    if (u->reach == REACH_DEAD || may_give_up(f, p, u)) {
+    if (u->reach == REACH_DEAD || may_reset_unreachable(f, p, u)) {
         decide(d, FLOW_RESET,
                u->reach == REACH_DEAD ? FLOW_UPSTREAM_DEAD
                                       : FLOW_UPSTREAM_OUT);
@@ -184,10 +186,10 @@
         d->asks = p->len > 0;
     }
     else {
-        bool asked = r->asked_at != 0;
-        follow(f, now, p, r);
+        bool asked = r->request_at != 0;
+        track_flow(f, now, p, r);
         touch(f, now, r);
-        d->asks = !asked && r->asked_at != 0;
+        d->asks = !asked && r->request_at != 0;
     }
     if (r != NULL && p->ends) {
         record_ended(r); /* kept: the last packets must not look like a flow */
@@ -198,7 +200,7 @@
  * another instance or before an upstream died?  Then the caller must not be
  * told that it failed. */
 static bool
-opened_elsewhere(const flow_packet_t *p)
+maybe_opened_elsewhere(const flow_packet_t *p)
 {
     return p->ack > 0 || p->age_ms >= REPEAT_MIN_MS;
 }
@@ -207,11 +209,11 @@
 refuse_opening(const flow_packet_t *p, flow_reason_t reason,
                flow_decision_t *d)
 {
-    decide(d, opened_elsewhere(p) ? FLOW_DROP : FLOW_RESET, reason);
+    decide(d, maybe_opened_elsewhere(p) ? FLOW_DROP : FLOW_RESET, reason);
 }
 
 static flow_reason_t
-why_refused(const choice_t *c)
+refusal_reason(const choice_t *c)
 {
     return c->full != NULL ? FLOW_OVERLOAD
            : c->warm_up    ? FLOW_WARM_UP
@@ -222,8 +224,8 @@
 /* A copy of an opening packet that nobody answered: another upstream takes it,
  * or the same if it is the only one. */
 static void
-take_copy(flowset_t *f, ms_t now, record_t *r, const flow_route_t *route,
-          flow_decision_t *d)
+handle_opening_copy(flowset_t *f, ms_t now, record_t *r,
+                    const flow_route_t *route, flow_decision_t *d)
 {
     upstream_t *u;
     choice_t c;
@@ -232,7 +234,7 @@
     c = choose(f, now, route, r->up, ADMIT_ALL);
     u = c.up;
     if (u == NULL) {
-        decide(d, FLOW_DROP, why_refused(&c)); /* as refuse_opening() */
+        decide(d, FLOW_DROP, refusal_reason(&c)); /* as refuse_opening() */
         record_free(f, r);
         return;
     }
@@ -247,8 +249,8 @@
 }
 
 static void
-take_opening(flowset_t *f, ms_t now, const flow_packet_t *p,
-             flow_decision_t *d)
+handle_opening(flowset_t *f, ms_t now, const flow_packet_t *p,
+               flow_decision_t *d)
 {
     const flow_route_t *route = route_find(f, &p->service);
     record_t *r = record_find(f, &p->caller, &p->service);
@@ -259,16 +261,16 @@
         return;
     }
     if (r != NULL && !r->open && p->ack > 0) {
-        take_copy(f, now, r, route, d);
+        handle_opening_copy(f, now, r, route, d);
         return;
     }
     if (r != NULL) { /* the caller's port is used again */
         record_free(f, r);
     }
     c = choose(f, now, route, NULL,
-               opened_elsewhere(p) ? ADMIT_ALL : ADMIT_IN_GOAL);
+               maybe_opened_elsewhere(p) ? ADMIT_ALL : ADMIT_IN_GOAL);
     if (c.up == NULL) {
-        refuse_opening(p, why_refused(&c), d);
+        refuse_opening(p, refusal_reason(&c), d);
         if (c.full != NULL) {
             d->service = c.service;
             d->busy = c.full->limit.in_flight;
@@ -280,7 +282,7 @@
     forward(d, FLOW_CHOSEN, c.up);
     r = record_new(f, now, p, c.up, route);
     if (r != NULL) {
-        r->retransmitted = opened_elsewhere(p);
+        r->retransmitted = maybe_opened_elsewhere(p);
     }
 }
 
@@ -290,10 +292,10 @@
 {
     *d = (flow_decision_t){.version = f->conf ? f->conf->version : 0};
     if (p->opens) {
-        take_opening(f, now, p, d);
+        handle_opening(f, now, p, d);
     }
     else {
-        take_later(f, now, p, d);
+        handle_packet(f, now, p, d);
     }
     f->stats.packets[d->reason]++;
 }
--- a/flow/directory.c
+++ b/flow/directory.c
@@ -106,7 +106,7 @@
         return NULL;
     }
     u->local = strcmp(a->data_centre, f->data_centre) == 0;
-    u->group = u->local ? &u->service->near : &u->service->far;
+    u->group = u->local ? &u->service->local : &u->service->remote;
     /* Tags are 32 bits of an id: two upstreams may share one.  Packets could
      * then reach the wrong one and be reset, so the later one gets no flow. */
     u->tag_taken =
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -7,7 +7,7 @@
 
 /* Flows that an upstream may still hold, behind the longest lifetime of one:
  * its announcement may lapse before it ends. */
-#define FORGET_MARGIN_MS 30000
+#define EXPIRY_MARGIN_MS 30000
 /* Period of the look through all records. */
 #define SWEEP_MS 500
 
@@ -26,8 +26,8 @@
     list_init(&f->services);
     list_init(&f->recent);
     list_init(&f->opening);
-    list_init(&f->asking);
-    list_init(&f->late);
+    list_init(&f->pending);
+    list_init(&f->slow);
     list_init(&f->suspects);
     if (index_init(&f->by_id) < 0 || index_init(&f->by_tag) < 0 ||
         index_init(&f->by_addr) < 0 || index_init(&f->by_key) < 0 ||
@@ -41,10 +41,10 @@
 /* U has started anew under its id: it holds none of these flows, and resets
  * them itself when their callers send again. */
 static void
-forget_flows(flowset_t *f, upstream_t *u)
+discard_records(flowset_t *f, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_free(f, LIST_OWNER(it, record_t, of));
+        record_free(f, LIST_OWNER(it, record_t, by_upstream));
     }
     u->answer_ms = 0;
     u->unanswered = 0;
@@ -53,7 +53,7 @@
 static void
 drop_upstream(flowset_t *f, upstream_t *u)
 {
-    forget_flows(f, u);
+    discard_records(f, u);
     upstream_free(f, u);
 }
 
@@ -68,8 +68,8 @@
     }
     LIST_EACH (it, &f->services) {
         service_t *s = LIST_OWNER(it, service_t, link);
-        free(s->near.up);
-        free(s->far.up);
+        free(s->local.up);
+        free(s->remote.up);
         free(s);
     }
     index_free(&f->by_id);
@@ -123,7 +123,7 @@
 }
 
 static void
-end_at(flowset_t *f, ms_t now, upstream_t *u)
+retire_upstream(flowset_t *f, ms_t now, upstream_t *u)
 {
     u->listed = false;
     u->unlisted_at = now;
@@ -135,9 +135,9 @@
  * has ended, though its announcement may outlast it.  Ends those announced
  * before A; true when A itself is the former one. */
 static bool
-end_former(flowset_t *f, ms_t now, const flow_upstream_t *a)
+retire_previous(flowset_t *f, ms_t now, const flow_upstream_t *a)
 {
-    bool former = false;
+    bool superseded = false;
 
     INDEX_EACH (it, &f->by_addr, addr_hash(&a->addr)) {
         upstream_t *u = LIST_OWNER(it, upstream_t, by_addr.link);
@@ -145,20 +145,20 @@
             continue;
         }
         if (u->a.revision > a->revision) {
-            former = true;
+            superseded = true;
         }
         else if (u->reach != REACH_DEAD) {
-            end_at(f, now, u);
+            retire_upstream(f, now, u);
         }
     }
-    return former;
+    return superseded;
 }
 
 int
 flowset_set_upstream(flowset_t *f, ms_t now, const flow_upstream_t *a)
 {
     upstream_t *u = upstream_by_id(f, a->id);
-    bool former = end_former(f, now, a);
+    bool superseded = retire_previous(f, now, a);
 
     if (u != NULL && (strcmp(u->a.service, a->service) != 0 ||
                       strcmp(u->a.data_centre, a->data_centre) != 0 ||
@@ -173,12 +173,12 @@
         return -ENOMEM;
     }
     if (u->a.born_ms != a->born_ms) {
-        forget_flows(f, u);
+        discard_records(f, u);
     }
     u->a = *a;
     u->warm_at = now + a->warm_up_ms;
-    if (former) {
-        end_at(f, now, u);
+    if (superseded) {
+        retire_upstream(f, now, u);
         return 0;
     }
     u->listed = true;
@@ -196,7 +196,7 @@
     }
     /* It has left or died, or its announcement lapsed: ask its host, so that
      * callers with idle flows needn't find out by waiting. */
-    reach_ask(f, now, u, "its announcement is gone");
+    reach_request_probe(f, now, u, "its announcement is gone");
 }
 
 void
@@ -213,7 +213,7 @@
 
 /* The place of DATA_CENTRE among the evacuated ones, or their number. */
 static uint32_t
-find_evacuated(const flowset_t *f, const char *data_centre)
+evacuated_index(const flowset_t *f, const char *data_centre)
 {
     uint32_t i = 0;
 
@@ -227,7 +227,7 @@
 bool
 flowset_is_evacuated(const flowset_t *f, const char *data_centre)
 {
-    return find_evacuated(f, data_centre) < f->n_evacuated;
+    return evacuated_index(f, data_centre) < f->n_evacuated;
 }
 
 /* Applies the evacuation of DATA_CENTRE, or its end, to the upstreams there;
@@ -251,7 +251,7 @@
 static int
 begin_evacuation(flowset_t *f, const char *data_centre)
 {
-    uint32_t at = find_evacuated(f, data_centre);
+    uint32_t at = evacuated_index(f, data_centre);
 
     if (at == EVACUATIONS_MAX) {
         return -ENOSPC;
@@ -283,11 +283,11 @@
     if (evacuated) {
         return begin_evacuation(f, data_centre);
     }
-    at = find_evacuated(f, data_centre);
+    at = evacuated_index(f, data_centre);
     if (at == f->n_evacuated) {
         return evacuate_upstreams(f, data_centre, false);
     }
-    if (f->known >= revision) {
+    if (f->upstreams_revision >= revision) {
         return end_evacuation(f, at);
     }
     f->evacuated[at].ends_at = revision;
@@ -308,10 +308,11 @@
 void
 flowset_upstreams_known(flowset_t *f, uint64_t revision)
 {
-    f->known = revision > f->known ? revision : f->known;
+    f->upstreams_revision =
+        revision > f->upstreams_revision ? revision : f->upstreams_revision;
     for (uint32_t i = f->n_evacuated; i-- > 0;) {
         uint64_t ends_at = f->evacuated[i].ends_at;
-        if (ends_at != 0 && ends_at <= f->known) {
+        if (ends_at != 0 && ends_at <= f->upstreams_revision) {
             end_evacuation(f, i); /* what isn't offered now is with its next
                                    * announcement */
         }
@@ -346,18 +347,18 @@
     LIST_EACH (it, &f->recent) {
         record_t *r = LIST_OWNER(it, record_t, recent);
         r->sent_at = now;
-        r->asked_at = r->asked_at != 0 ? now : 0;
+        r->request_at = r->request_at != 0 ? now : 0;
     }
 }
 
 static void
-forget_upstreams(flowset_t *f, ms_t now)
+expire_upstreams(flowset_t *f, ms_t now)
 {
-    ms_t forget_ms = f->spec.flow_ttl_ms + FORGET_MARGIN_MS;
+    ms_t expiry_ms = f->spec.flow_ttl_ms + EXPIRY_MARGIN_MS;
 
     LIST_EACH (it, &f->upstreams) {
         upstream_t *u = LIST_OWNER(it, upstream_t, all);
-        if (!u->listed && !u->probing && now - u->unlisted_at > forget_ms) {
+        if (!u->listed && !u->probing && now - u->unlisted_at > expiry_ms) {
             drop_upstream(f, u);
         }
     }
@@ -366,14 +367,14 @@
 ms_t
 flowset_tick(flowset_t *f, ms_t now)
 {
-    ms_t waits = waits_check(f, now);
+    ms_t timeout = timeouts_check(f, now);
     ms_t probe = reach_tick(f, now);
-    ms_t next = waits < probe ? waits : probe;
+    ms_t next = timeout < probe ? timeout : probe;
 
     if (now >= f->sweep_at) {
-        waits_sweep(f, now);
+        timeouts_sweep(f, now);
         records_expire(f, now);
-        forget_upstreams(f, now);
+        expire_upstreams(f, now);
         LIST_EACH (it, &f->services) {
             choice_sweep(LIST_OWNER(it, service_t, link), now);
         }
@@ -397,8 +398,8 @@
     s->usable = s->limits = 0;
     LIST_EACH (it, &f->services) {
         const service_t *v = LIST_OWNER(it, service_t, link);
-        s->limits += (v->near.limit.max_in_flight > 0) +
-                     (v->far.limit.max_in_flight > 0);
+        s->limits += (v->local.limit.max_in_flight > 0) +
+                     (v->remote.limit.max_in_flight > 0);
     }
     LIST_EACH (it, &f->upstreams) {
         const upstream_t *u = LIST_OWNER(it, upstream_t, all);
--- a/flow/limit.c
+++ b/flow/limit.c
@@ -21,7 +21,7 @@
 /* Multiple of the unloaded latency beyond which answers have queued. */
 #define QUEUE_FACTOR 2.75
 /* Above the median: fast rejections by a full upstream look like answers. */
-#define SLOW_QUANTILE 0.8
+#define TAIL_QUANTILE 0.8
 /* Steps of running quantiles, relative: of the limit and of slow answers; of
  * the limit, upwards, while answers meet the target; of the median. */
 #define STEP 0.15
@@ -29,12 +29,12 @@
 #define MEDIAN_STEP 0.02
 /* Answers until the baseline is known, and the target until then. */
 #define BASELINE_ANSWERS 32
-#define UNSURE_TARGET 1.5
+#define INITIAL_TARGET 1.5
 /* Answers, while the baseline is doubtful, that are still looked at. */
-#define DOUBTFUL_ANSWERS 48
+#define SUSPICIOUS_ANSWERS 48
 /* A baseline is doubtful when its target would exceed this share of the goal:
  * the service is slow, or has queued from the first request on. */
-#define DOUBTFUL_TARGET 0.9
+#define SUSPICIOUS_TARGET 0.9
 /* Squared correlation above which the first answers have queued. */
 #define CORRELATION_MIN 0.25
 /* Rise of the baseline with each answer, relative: follows a service that has
@@ -48,16 +48,16 @@
 /* A limit ends after this time without a refusal. */
 #define RELEASE_MS 500
 /* Slow answers are then assumed at this share of the target. */
-#define RELEASED 0.5
+#define RELEASED_SHARE 0.5
 /* Room beyond the limit, as a share of it, for requests that are a step of
  * priority or more above the average. */
-#define PRIORITY_ROOM 0.5
+#define PRIORITY_HEADROOM 0.5
 /* Smoothing factor of the average priority (EWMA). */
 #define PRIORITY_WEIGHT 0.02
 
 /* A step of *RUNNING towards quantile Q of what VALUE is one of. */
 static void
-note_quantile(double *running, double q, double step, double value)
+update_quantile(double *running, double q, double step, double value)
 {
     if (*running == 0) {
         *running = value;
@@ -89,9 +89,9 @@
 }
 
 static bool
-is_doubtful(const baseline_t *b)
+is_suspicious(const baseline_t *b)
 {
-    return QUEUE_FACTOR * b->median > DOUBTFUL_TARGET;
+    return QUEUE_FACTOR * b->median > SUSPICIOUS_TARGET;
 }
 
 /* Instances that start into overload see queues from their first request on.
@@ -101,20 +101,20 @@
 learn_baseline(baseline_t *b, double share, uint32_t in_flight)
 {
     correlation_add(&b->first, in_flight, share);
-    b->share = is_doubtful(b) && is_correlated(&b->first) ? b->first.least
-                                                          : b->median;
+    b->share = is_suspicious(b) && is_correlated(&b->first) ? b->first.least
+                                                            : b->median;
 }
 
 static void
-note_baseline(baseline_t *b, double share, uint32_t in_flight, double rise)
+update_baseline(baseline_t *b, double share, uint32_t in_flight, double rise)
 {
     double step = 2.0 / ++b->answers;
 
     step = step < MEDIAN_STEP ? MEDIAN_STEP : step > 1 ? 1 : step;
-    note_quantile(&b->median, 0.5, step, share);
+    update_quantile(&b->median, 0.5, step, share);
     b->share *= 1 + rise;
     if (b->answers <= BASELINE_ANSWERS ||
-        (b->answers <= DOUBTFUL_ANSWERS && is_doubtful(b))) {
+        (b->answers <= SUSPICIOUS_ANSWERS && is_suspicious(b))) {
         learn_baseline(b, share, in_flight);
     }
     else if (b->median < b->share) {
@@ -128,7 +128,7 @@
     double queued = QUEUE_FACTOR * b->share;
 
     if (b->answers < BASELINE_ANSWERS) {
-        return UNSURE_TARGET;
+        return INITIAL_TARGET;
     }
     return queued > TARGET ? queued : TARGET;
 }
@@ -137,17 +137,17 @@
 static void
 adapt(limit_t *l, double target, double max_in_flight)
 {
-    double step = l->slow < target && max_in_flight > l->max_in_flight
+    double step = l->tail_latency < target && max_in_flight > l->max_in_flight
                       ? GROW_STEP
                       : STEP;
 
-    note_quantile(&l->max_in_flight, 1 - SLOW_QUANTILE, step, max_in_flight);
+    update_quantile(&l->max_in_flight, 1 - TAIL_QUANTILE, step, max_in_flight);
 }
 
 static void
 limit_enable(limit_t *l, ms_t now, double target)
 {
-    l->max_in_flight = l->in_flight * target / l->slow;
+    l->max_in_flight = l->in_flight * target / l->tail_latency;
     l->refused = 0;
     l->refused_at = now;
 }
@@ -156,7 +156,7 @@
 limit_disable(limit_t *l, double target)
 {
     l->max_in_flight = 0;
-    l->slow = RELEASED * target;
+    l->tail_latency = RELEASED_SHARE * target;
 }
 
 bool
@@ -166,11 +166,11 @@
     bool limited = l->max_in_flight > 0;
     double target;
 
-    note_quantile(&l->slow, SLOW_QUANTILE, STEP, share);
-    note_baseline(b, share, in_flight,
-                  limited ? BASELINE_RISE_LIMITED : BASELINE_RISE);
+    update_quantile(&l->tail_latency, TAIL_QUANTILE, STEP, share);
+    update_baseline(b, share, in_flight,
+                    limited ? BASELINE_RISE_LIMITED : BASELINE_RISE);
     target = limit_target(b);
-    if (!limited && l->slow > target) {
+    if (!limited && l->tail_latency > target) {
         limit_enable(l, now, target);
         return true;
     }
@@ -191,7 +191,7 @@
     double ahead = l->priority - priority;
 
     ahead = ahead > 1 ? 1 : ahead < -1 ? -1 : ahead;
-    return l->max_in_flight * (1 + PRIORITY_ROOM * ahead);
+    return l->max_in_flight * (1 + PRIORITY_HEADROOM * ahead);
 }
 
 bool
--- a/flow/pacer.c
+++ b/flow/pacer.c
@@ -16,9 +16,9 @@
 #define LINK_SHARE 0.95
 /* What the link's own queue may hold: enough to keep it busy between two
  * wake-ups. */
-#define AHEAD_MS 4
+#define LINK_QUEUE_MS 4
 /* At least so many bytes: two packets of the longest. */
-#define AHEAD_MIN_BYTES 2600
+#define LINK_QUEUE_MIN_BYTES 2600
 
 /* A flow with packets that wait. */
 typedef struct pacer_flow {
@@ -29,12 +29,12 @@
 } pacer_flow_t;
 
 struct pacer {
-    double rate;    /* bytes a millisecond; 0: not limited */
-    double ahead;   /* bytes that the link's queue may hold */
-    double backlog; /* bytes that the link has not sent yet */
-    ms_t at;        /* of that backlog */
-    uint32_t n;     /* packets that wait */
-    link_t turns;   /* flows with packets, next first */
+    double rate;      /* bytes a millisecond; 0: not limited */
+    double queue_max; /* bytes that the link's queue may hold */
+    double backlog;   /* bytes that the link has not sent yet */
+    ms_t at;          /* of that backlog */
+    uint32_t n;       /* packets that wait */
+    link_t active;    /* flows with packets, next first */
     link_t unused;
     pacer_flow_t flow[PACER_MAX];
 };
@@ -48,11 +48,11 @@
         return NULL;
     }
     p->rate = (double)rate * LINK_SHARE / 1000;
-    p->ahead = p->rate * AHEAD_MS;
-    if (p->ahead < AHEAD_MIN_BYTES) {
-        p->ahead = AHEAD_MIN_BYTES;
+    p->queue_max = p->rate * LINK_QUEUE_MS;
+    if (p->queue_max < LINK_QUEUE_MIN_BYTES) {
+        p->queue_max = LINK_QUEUE_MIN_BYTES;
     }
-    list_init(&p->turns);
+    list_init(&p->active);
     list_init(&p->unused);
     for (int i = 0; i < PACER_MAX; i++) {
         list_init(&p->flow[i].packets);
@@ -79,10 +79,10 @@
 
 /* May a packet leave now?  Then it is counted. */
 static bool
-has_room(pacer_t *p, ms_t now, uint32_t bytes)
+try_send(pacer_t *p, ms_t now, uint32_t bytes)
 {
     drain(p, now);
-    if (p->backlog >= p->ahead) {
+    if (p->backlog >= p->queue_max) {
         return false;
     }
     p->backlog += bytes;
@@ -92,13 +92,13 @@
 bool
 pacer_admit(pacer_t *p, ms_t now, uint32_t bytes)
 {
-    return p->rate == 0 || (p->n == 0 && has_room(p, now, bytes));
+    return p->rate == 0 || (p->n == 0 && try_send(p, now, bytes));
 }
 
 static pacer_flow_t *
 find_flow(const pacer_t *p, const addr_t *caller, const addr_t *service)
 {
-    LIST_EACH (it, &p->turns) {
+    LIST_EACH (it, &p->active) {
         pacer_flow_t *f = LIST_OWNER(it, pacer_flow_t, link);
         if (addr_eq(&f->caller, caller) && addr_eq(&f->service, service)) {
             return f;
@@ -134,7 +134,7 @@
         f->caller = w->caller;
         f->service = w->service;
         list_remove(&f->link);
-        list_append(&p->turns, &f->link);
+        list_append(&p->active, &f->link);
     }
     w->flow = f;
     list_append(&f->packets, &w->link);
@@ -143,7 +143,7 @@
 }
 
 static void
-take_out(pacer_t *p, paced_t *w)
+dequeue(pacer_t *p, paced_t *w)
 {
     pacer_flow_t *f = w->flow;
 
@@ -151,7 +151,7 @@
     f->n--;
     p->n--;
     list_remove(&f->link);
-    list_append(f->n > 0 ? &p->turns : &p->unused, &f->link);
+    list_append(f->n > 0 ? &p->active : &p->unused, &f->link);
 }
 
 paced_t *
@@ -160,7 +160,7 @@
     pacer_flow_t *longest = NULL;
     paced_t *w;
 
-    LIST_EACH (it, &p->turns) {
+    LIST_EACH (it, &p->active) {
         pacer_flow_t *f = LIST_OWNER(it, pacer_flow_t, link);
         if (longest == NULL || f->n > longest->n) {
             longest = f;
@@ -170,31 +170,31 @@
         return NULL;
     }
     w = LIST_OWNER(longest->packets.prev, paced_t, link);
-    take_out(p, w);
+    dequeue(p, w);
     return w;
 }
 
 paced_t *
 pacer_pop(pacer_t *p, ms_t now)
 {
-    pacer_flow_t *f = LIST_OWNER(p->turns.next, pacer_flow_t, link);
+    pacer_flow_t *f = LIST_OWNER(p->active.next, pacer_flow_t, link);
     paced_t *w;
 
     if (p->n == 0) {
         return NULL;
     }
     w = LIST_OWNER(f->packets.next, paced_t, link);
-    if (!has_room(p, now, w->bytes)) {
+    if (!try_send(p, now, w->bytes)) {
         return NULL;
     }
-    take_out(p, w);
+    dequeue(p, w);
     return w;
 }
 
 ms_t
 pacer_due(const pacer_t *p)
 {
-    double excess = p->backlog - p->ahead;
+    double excess = p->backlog - p->queue_max;
 
     if (p->n == 0) {
         return MS_NEVER;
--- a/flow/reach.c
+++ b/flow/reach.c
@@ -21,9 +21,9 @@
 #include <string.h>
 
 /* Timeout of a probe: several round trips between data centres. */
-#define PROBE_MS 100
+#define PROBE_TIMEOUT_MS 100
 /* Age at which a probe without a result counts as never made. */
-#define PROBE_LOST_MS (8 * PROBE_MS)
+#define PROBE_EXPIRY_MS (8 * PROBE_TIMEOUT_MS)
 /* Probe timeouts in a row that make an upstream unreachable.  A full link
  * drops packets at random: two probes lost while another's passes is likely
  * there, three lost while two pass is not. */
@@ -101,9 +101,9 @@
     }
     u->probing = true;
     u->probed_at = now;
-    schedule(f, u, now + PROBE_LOST_MS);
+    schedule(f, u, now + PROBE_EXPIRY_MS);
     out.probe.to = u->a.addr;
-    out.probe.timeout_ms = PROBE_MS;
+    out.probe.timeout_ms = PROBE_TIMEOUT_MS;
     f->spec.emit(f->spec.arg, &out);
 }
 
@@ -118,7 +118,7 @@
 }
 
 void
-reach_ask(flowset_t *f, ms_t now, upstream_t *u, const char *why)
+reach_request_probe(flowset_t *f, ms_t now, upstream_t *u, const char *why)
 {
     if (u->reach == REACH_GOOD) {
         set_reach(f, u, REACH_SUSPECT, why);
@@ -148,7 +148,7 @@
         u->reach != REACH_GOOD) {
         return;
     }
-    reach_ask(f, now, u, why);
+    reach_request_probe(f, now, u, why);
 }
 
 static void
@@ -176,7 +176,7 @@
 reset_all(flowset_t *f, ms_t now, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_t *r = LIST_OWNER(it, record_t, of);
+        record_t *r = LIST_OWNER(it, record_t, by_upstream);
         if (!r->open &&
             (r->retransmitted || now - r->last_at >= REPEAT_MIN_MS)) {
             record_free(f, r);
@@ -194,8 +194,8 @@
 reset_waiting(flowset_t *f, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_t *r = LIST_OWNER(it, record_t, of);
-        if (r->open && !r->ended && r->idempotent && r->asked_at != 0) {
+        record_t *r = LIST_OWNER(it, record_t, by_upstream);
+        if (r->open && !r->ended && r->idempotent && r->request_at != 0) {
             reset(f, r, FLOW_UPSTREAM_OUT);
         }
     }
@@ -233,14 +233,14 @@
  * that for their fault, it would reset flows that are merely late.  Only when
  * the other answers in time, each time, is the silence U's own. */
 static void
-probe_beside(flowset_t *f, ms_t now, upstream_t *u)
+probe_with_control(flowset_t *f, ms_t now, upstream_t *u)
 {
     upstream_t *control = control_for(f, u);
 
     start_probe(f, now, u);
     if (control != NULL) {
         start_probe(f, now, control);
-        control->beside = true;
+        control->is_control = true;
     }
 }
 
@@ -256,31 +256,32 @@
 }
 
 static void
-probe_silent(flowset_t *f, ms_t now, upstream_t *u)
+on_probe_timeout(flowset_t *f, ms_t now, upstream_t *u)
 {
-    bool beside =
-        f->answered_from >= u->probed_at && f->silence <= PROBE_LOSS_MAX;
+    bool control_answered = f->answered_probe_at >= u->probed_at &&
+                            f->probe_loss <= PROBE_LOSS_MAX;
 
-    u->silent++;
+    u->timeouts++;
     if (u->reach == REACH_SUSPECT) {
-        if (u->silent == 1 || (beside && u->silent < PROBE_TIMEOUTS_MAX)) {
-            probe_beside(f, now, u);
+        if (u->timeouts == 1 ||
+            (control_answered && u->timeouts < PROBE_TIMEOUTS_MAX)) {
+            probe_with_control(f, now, u);
             return;
         }
-        if (beside) {
+        if (control_answered) {
             set_reach(f, u, REACH_UNREACHABLE,
                       "it alone did not answer three probes");
             reset_waiting(f, u);
         }
         else {
-            u->silent = 0; /* nothing is proved: all over again, later */
+            u->timeouts = 0; /* nothing is proved: all over again, later */
         }
     }
     schedule(f, u, next_retry(u, now));
 }
 
 static void
-probe_refused(flowset_t *f, ms_t now, upstream_t *u)
+on_probe_refused(flowset_t *f, ms_t now, upstream_t *u)
 {
     bool served_since = u->alive_at > u->refused_at;
     bool proved = true;
@@ -297,13 +298,13 @@
 }
 
 static void
-note_silence(flowset_t *f, upstream_t *u, flow_probe_t result)
+update_probe_loss(flowset_t *f, upstream_t *u, flow_probe_t result)
 {
-    if (u->beside && result != PROBE_NONE) {
-        f->silence +=
-            PROBE_LOSS_WEIGHT * ((result == PROBE_SILENT) - f->silence);
+    if (u->is_control && result != PROBE_NONE) {
+        f->probe_loss +=
+            PROBE_LOSS_WEIGHT * ((result == PROBE_SILENT) - f->probe_loss);
     }
-    u->beside = false;
+    u->is_control = false;
 }
 
 void
@@ -311,13 +312,13 @@
 {
     u->probing = false;
     schedule(f, u, MS_NEVER);
-    note_silence(f, u, result);
+    update_probe_loss(f, u, result);
     switch (result) {
     case PROBE_ANSWERED:
-        if (u->probed_at > f->answered_from) {
-            f->answered_from = u->probed_at;
+        if (u->probed_at > f->answered_probe_at) {
+            f->answered_probe_at = u->probed_at;
         }
-        u->silent = 0;
+        u->timeouts = 0;
         u->refused = 0;
         u->retry_ms = 0;
         u->unanswered = 0;
@@ -326,16 +327,16 @@
         set_reach(f, u, REACH_GOOD, "it answered a probe");
         break;
     case PROBE_REFUSED:
-        probe_refused(f, now, u);
+        on_probe_refused(f, now, u);
         break;
     case PROBE_RESET:
         /* An overloaded upstream does so while it serves.  Its flows must not
          * be ended; if its process has, the next probe is refused. */
-        u->silent = 0;
+        u->timeouts = 0;
         schedule(f, u, now + RESET_RETRY_MS);
         break;
     case PROBE_SILENT:
-        probe_silent(f, now, u);
+        on_probe_timeout(f, now, u);
         break;
     case PROBE_NONE:
     case PROBE_RESULTS:
--- a/flow/records.c
+++ b/flow/records.c
@@ -26,13 +26,13 @@
 /* Adds what R weighs to its upstream, or takes it away: a flow weighs while it
  * is open, a request while it is unanswered. */
 static void
-weigh(const record_t *r, uint32_t sign)
+update_load(const record_t *r, uint32_t sign)
 {
     if (r->ended) {
         return;
     }
     r->up->open += r->open ? sign : 0;
-    if (!r->open || r->asked_at != 0) {
+    if (!r->open || r->request_at != 0) {
         r->up->busy += sign;
         r->up->group->limit.in_flight += r->overdue ? 0 : sign;
     }
@@ -42,15 +42,15 @@
 attach(record_t *r, upstream_t *u)
 {
     r->up = u;
-    list_append(&u->records, &r->of);
-    weigh(r, 1);
+    list_append(&u->records, &r->by_upstream);
+    update_load(r, 1);
 }
 
 static void
 detach(record_t *r)
 {
-    weigh(r, (uint32_t)-1);
-    list_remove(&r->of);
+    update_load(r, (uint32_t)-1);
+    list_remove(&r->by_upstream);
 }
 
 record_t *
@@ -105,48 +105,48 @@
 }
 
 void
-record_asked(flowset_t *f, record_t *r, ms_t now)
+record_request_begin(flowset_t *f, record_t *r, ms_t now)
 {
-    weigh(r, (uint32_t)-1);
-    r->asked_at = now;
-    weigh(r, 1);
+    update_load(r, (uint32_t)-1);
+    r->request_at = now;
+    update_load(r, 1);
     r->in_flight_at_start = r->up->group->limit.in_flight;
     list_remove(&r->waiting);
-    list_append(&f->asking, &r->waiting);
+    list_append(&f->pending, &r->waiting);
 }
 
 void
 record_overdue(record_t *r)
 {
-    weigh(r, (uint32_t)-1);
+    update_load(r, (uint32_t)-1);
     r->overdue = true;
-    weigh(r, 1);
+    update_load(r, 1);
     list_remove(&r->waiting);
 }
 
 void
-record_answered(record_t *r)
+record_request_end(record_t *r)
 {
-    weigh(r, (uint32_t)-1);
-    r->asked_at = 0;
+    update_load(r, (uint32_t)-1);
+    r->request_at = 0;
     r->overdue = false;
-    weigh(r, 1);
+    update_load(r, 1);
     list_remove(&r->waiting);
 }
 
 void
 record_opened(record_t *r)
 {
-    weigh(r, (uint32_t)-1);
+    update_load(r, (uint32_t)-1);
     r->open = true;
-    weigh(r, 1);
+    update_load(r, 1);
     list_remove(&r->waiting);
 }
 
 void
 record_ended(record_t *r)
 {
-    weigh(r, (uint32_t)-1);
+    update_load(r, (uint32_t)-1);
     r->ended = true;
     list_remove(&r->waiting);
 }
--- a/flow/state.h
+++ b/flow/state.h
@@ -31,7 +31,7 @@
 typedef struct {
     uint32_t in_flight;   /* requests in progress */
     double max_in_flight; /* 0: no limit in force */
-    double slow;          /* running upper quantile of the time to an answer,
+    double tail_latency;  /* running upper quantile of the time to an answer,
                            * as a share of the goal; 0: none */
     uint64_t refused;     /* requests, since the limit began */
     ms_t refused_at;      /* the last request, or when the limit began */
@@ -97,8 +97,8 @@
     /* Reach */
     flow_reach_t reach;
     bool probing;
-    bool beside;      /* that probe is only to compare another's with */
-    int silent;       /* probes in a row without an answer */
+    bool is_control;  /* that probe is only to compare another's with */
+    int timeouts;     /* probes in a row without an answer */
     int refused;      /* probes in a row that were refused */
     ms_t refused_at;  /* the last of them */
     ms_t alive_at;    /* the last sign of life */
@@ -114,11 +114,11 @@
     uint32_t n_evacuated; /* upstreams */
     double warm_up_per_s; /* of an upstream that warms up; 0: not told */
     entry_t by_name;
-    link_t link;       /* flowset_t.services */
-    group_t near, far; /* in this data centre; in others */
+    link_t link;           /* flowset_t.services */
+    group_t local, remote; /* in this data centre; in others */
     baseline_t baseline;
     double answer_ms; /* median of its upstreams' averages; 0: none.  A mean
-                       * would follow the one that is odd */
+                       * would track_flow the one that is odd */
 };
 
 /* ---- Records of flows ---- */
@@ -129,11 +129,11 @@
 
 typedef struct {
     entry_t by_key;
-    link_t recent;  /* flowset_t.recent, least recently used first */
-    link_t waiting; /* flowset_t.opening or .asking, oldest first: a sign
-                     * that the upstream lives is waited for; then .late,
-                     * until the request is overdue */
-    link_t of;      /* upstream_t.records */
+    link_t recent;      /* flowset_t.recent, least recently used first */
+    link_t waiting;     /* flowset_t.opening or .asking, oldest first: a sign
+                         * that the upstream lives is waited for; then .late,
+                         * until the request is overdue */
+    link_t by_upstream; /* upstream_t.records */
     addr_t caller, service;
     upstream_t *up;
     ms_t goal_ms;                /* of its route; 0: not told */
@@ -146,7 +146,7 @@
     uint32_t seq_end;   /* behind the last byte that the caller sent */
     uint32_t ack;       /* the caller's last */
     ms_t sent_at;       /* the caller's last new bytes, or opening packet */
-    ms_t asked_at;      /* first bytes of an unanswered request; 0: none */
+    ms_t request_at;    /* first bytes of an unanswered request; 0: none */
     ms_t last_at;
 } record_t;
 
@@ -162,18 +162,18 @@
     flow_conf_t *conf; /* NULL: none yet; routes sorted by address */
     index_t by_id, by_tag, by_addr, by_key, by_name;
     link_t upstreams, services, recent, suspects;
-    link_t opening, asking, late; /* records: see record_t.waiting */
+    link_t opening, pending, slow; /* records: see record_t.waiting */
     uint32_t n_upstreams, n_records;
     uint64_t self; /* among the warmers */
     uint32_t n_warmers;
     uint64_t warmer[WARMERS_MAX];
     uint32_t n_evacuated; /* in EVACUATED */
     evacuation_t evacuated[EVACUATIONS_MAX];
-    uint64_t known;     /* revision up to which upstreams are known */
-    ms_t answered_from; /* the latest start of a probe that was answered */
-    double silence;     /* moving average of the share of probes to upstreams
-                         * in no doubt that were not answered */
-    ms_t sweep_at;      /* when all records are looked through next */
+    uint64_t upstreams_revision; /* revision up to which upstreams are known */
+    ms_t answered_probe_at; /* the latest start of a probe that was answered */
+    double probe_loss; /* moving average of the share of probes to upstreams
+                        * in no doubt that were not answered */
+    ms_t sweep_at;     /* when all records are looked through next */
     flow_stats_t stats;
 };
 
@@ -209,8 +209,8 @@
 /* Forgets what is older than the configuration's idle time. */
 void records_expire(flowset_t *f, ms_t now);
 /* A request of R begins, or is no longer waited for. */
-void record_asked(flowset_t *f, record_t *r, ms_t now);
-void record_answered(record_t *r);
+void record_request_begin(flowset_t *f, record_t *r, ms_t now);
+void record_request_end(record_t *r);
 /* The answer to its request hasn't been seen within the goal. */
 void record_overdue(record_t *r);
 /* The first packet after the opening one; the caller's last. */
@@ -258,7 +258,8 @@
 /* U has ended for sure. */
 void reach_dead(flowset_t *f, ms_t now, upstream_t *u, const char *why);
 /* A probe of U, whatever callers' packets say. */
-void reach_ask(flowset_t *f, ms_t now, upstream_t *u, const char *why);
+void reach_request_probe(flowset_t *f, ms_t now, upstream_t *u,
+                         const char *why);
 /* U is announced (again). */
 void reach_announced(flowset_t *f, ms_t now, upstream_t *u);
 void reach_probed(flowset_t *f, ms_t now, upstream_t *u, flow_probe_t result);
@@ -270,8 +271,8 @@
 /* Openings and requests that go unanswered for unusually long: doubts are
  * raised, and what is overdue no longer counts as in progress.  Returns when
  * the next would be. */
-ms_t waits_check(flowset_t *f, ms_t now);
+ms_t timeouts_check(flowset_t *f, ms_t now);
 /* Requests whose answer won't be seen here no longer count as in progress. */
-void waits_sweep(flowset_t *f, ms_t now);
+void timeouts_sweep(flowset_t *f, ms_t now);
 
 #endif
--- a/flow/waits.c
+++ b/flow/timeouts.c
@@ -2,16 +2,16 @@
 #include "flow/state.h"
 
 /* Timeout of an opening packet, until the caller's next packet. */
-#define OPENING_MS 80
+#define OPENING_TIMEOUT_MS 80
 /* Age at which an unanswered request no longer counts as in progress: it was
  * given up, or its flow goes on through another instance. */
-#define ASKED_MAX_MS 3000
+#define REQUEST_MAX_AGE_MS 3000
 /* An idempotent request makes its upstream suspect after this multiple of the
  * service's average latency, within these bounds: well before its caller
  * retransmits.  Later answers to others refute it. */
-#define ASKING_FACTOR 4
-#define ASKING_MIN_MS 60
-#define ASKING_MAX_MS 200
+#define REQUEST_TIMEOUT_FACTOR 4
+#define REQUEST_TIMEOUT_MIN_MS 60
+#define REQUEST_TIMEOUT_MAX_MS 200
 
 /* Opening packets that went unanswered; returns when the next would be. */
 static ms_t
@@ -19,8 +19,8 @@
 {
     LIST_EACH (it, &f->opening) {
         record_t *r = LIST_OWNER(it, record_t, waiting);
-        if (now - r->sent_at < OPENING_MS) {
-            return r->sent_at + OPENING_MS;
+        if (now - r->sent_at < OPENING_TIMEOUT_MS) {
+            return r->sent_at + OPENING_TIMEOUT_MS;
         }
         list_remove(it);
         r->up->unanswered++;
@@ -31,33 +31,33 @@
 }
 
 static ms_t
-asking_ms(const service_t *s)
+request_timeout(const service_t *s)
 {
-    ms_t ms = (ms_t)(ASKING_FACTOR * s->answer_ms);
+    ms_t ms = (ms_t)(REQUEST_TIMEOUT_FACTOR * s->answer_ms);
 
-    return ms == 0 || ms > ASKING_MAX_MS ? ASKING_MAX_MS
-           : ms < ASKING_MIN_MS          ? ASKING_MIN_MS
-                                         : ms;
+    return ms == 0 || ms > REQUEST_TIMEOUT_MAX_MS ? REQUEST_TIMEOUT_MAX_MS
+           : ms < REQUEST_TIMEOUT_MIN_MS          ? REQUEST_TIMEOUT_MIN_MS
+                                                  : ms;
 }
 
 /* Requests that wait unusually long; returns when the next one would.  They
  * are in the order of their beginning, and services differ by little: one that
  * stands behind another of a slower service is found a little late. */
 static ms_t
-check_asking(flowset_t *f, ms_t now)
+check_requests(flowset_t *f, ms_t now)
 {
-    LIST_EACH (it, &f->asking) {
+    LIST_EACH (it, &f->pending) {
         record_t *r = LIST_OWNER(it, record_t, waiting);
-        ms_t due = r->asked_at + asking_ms(r->up->service);
+        ms_t due = r->request_at + request_timeout(r->up->service);
         if (now < due) {
             return due;
         }
         list_remove(it);
         if (r->goal_ms > 0) {
-            list_append(&f->late, it);
+            list_append(&f->slow, it);
         }
         if (r->idempotent) { /* an upload is answered when it has ended */
-            reach_suspect(f, now, r->up, r->asked_at,
+            reach_suspect(f, now, r->up, r->request_at,
                           "a request is not answered");
         }
     }
@@ -70,11 +70,11 @@
  * free.  Goals differ: one that stands behind a longer is found a little late.
  */
 static void
-check_late(flowset_t *f, ms_t now)
+check_overdue(flowset_t *f, ms_t now)
 {
-    LIST_EACH (it, &f->late) {
+    LIST_EACH (it, &f->slow) {
         record_t *r = LIST_OWNER(it, record_t, waiting);
-        if (now < r->asked_at + r->goal_ms) {
+        if (now < r->request_at + r->goal_ms) {
             return;
         }
         record_overdue(r);
@@ -82,28 +82,28 @@
 }
 
 void
-waits_sweep(flowset_t *f, ms_t now)
+timeouts_sweep(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->recent) {
         record_t *r = LIST_OWNER(it, record_t, recent);
-        if (now - r->last_at < ASKED_MAX_MS) {
+        if (now - r->last_at < REQUEST_MAX_AGE_MS) {
             return;
         }
         if (!r->open || r->ended) {
             record_free(f, r);
         }
-        else if (r->asked_at != 0) {
-            record_answered(r);
+        else if (r->request_at != 0) {
+            record_request_end(r);
         }
     }
 }
 
 ms_t
-waits_check(flowset_t *f, ms_t now)
+timeouts_check(flowset_t *f, ms_t now)
 {
     ms_t opening = check_opening(f, now);
-    ms_t asking = check_asking(f, now);
+    ms_t request = check_requests(f, now);
 
-    check_late(f, now);
-    return opening < asking ? opening : asking;
+    check_overdue(f, now);
+    return opening < request ? opening : request;
 }
--- a/flow/warmup.c
+++ b/flow/warmup.c
@@ -15,13 +15,13 @@
 /* Share of the bound that is used.  Instances hear of an announcement one
  * after the other: for a moment their lists differ, and the shares don't add
  * up. */
-#define USED_SHARE 0.8
+#define SAFETY_FACTOR 0.8
 /* Shares are taken of so many at least, for the same reason. */
-#define WARMERS_MIN 4
+#define WARM_UP_SHARES_MIN 4
 
 /* New flows a second that U may get from all instances; 0: not bounded. */
 static double
-bound_of(const flowset_t *f, const upstream_t *u)
+max_rate(const flowset_t *f, const upstream_t *u)
 {
     double per_s = u->service->warm_up_per_s;
 
@@ -50,20 +50,21 @@
 static ms_t
 spacing_of(const flowset_t *f, const upstream_t *u)
 {
-    double bound = USED_SHARE * bound_of(f, u);
-    uint32_t most = bound < UINT16_MAX ? (uint32_t)bound : UINT16_MAX;
-    uint32_t parts = f->n_warmers > WARMERS_MIN ? f->n_warmers : WARMERS_MIN;
+    double bound = SAFETY_FACTOR * max_rate(f, u);
+    uint32_t max = bound < UINT16_MAX ? (uint32_t)bound : UINT16_MAX;
+    uint32_t shares =
+        f->n_warmers > WARM_UP_SHARES_MIN ? f->n_warmers : WARM_UP_SHARES_MIN;
 
     if (bound == 0) {
         return 0;
     }
-    if (!u->local || most == 0 || rank_of_self(f, u) >= f->n_warmers) {
+    if (!u->local || max == 0 || rank_of_self(f, u) >= f->n_warmers) {
         return MS_NEVER;
     }
-    if (parts <= most) {
-        return WINDOW_MS / (most / parts);
+    if (shares <= max) {
+        return WINDOW_MS / (max / shares);
     }
-    return rank_of_self(f, u) < most ? WINDOW_MS : MS_NEVER;
+    return rank_of_self(f, u) < max ? WINDOW_MS : MS_NEVER;
 }
 
 bool
