--- a/flow/choice.c
+++ b/flow/choice.c
@@ -1,47 +1,49 @@
-/* Which upstream takes a new flow.
+/* Selection of the upstream for a new flow.
  *
- * An instance sees only the flows that reach itself, so its counts are a part
- * of an upstream's load.  They still show what matters: an upstream that is
- * slow or overloaded keeps its requests for longer, so more of them are in
- * progress, also here.
- */
+ * An instance sees only the flows that reach it, so its counts cover a part of
+ * an upstream's load.  They are still a useful signal: a slow or overloaded
+ * upstream holds its requests longer, so more of them are in flight, also
+ * here. */
 #include "flow/state.h"
 
 #include <stdlib.h>
 
-/* Requests in progress that one open flow counts as. */
+/* Load of an open flow, in requests in flight. */
 #define FLOW_LOAD (1.0 / 16)
-/* Load factor of an upstream that warms up. */
+/* Load factor of an upstream in slow start. */
 #define WARM_UP_FACTOR 2.0
-/* Largest load factor of a slow upstream: a few flows go on measuring it. */
+/* Largest load factor of a slow upstream: it still gets a few flows, which
+ * measure its latency. */
 #define SLOW_FACTOR_MAX 8.0
-/* Below this share of the service's usual latency an upstream is taken to fail
- * requests fast; its load factor then. */
+/* An upstream with latency below this share of the service's median is
+ * considered to fail requests fast, and gets this load factor. */
 #define FAST_FAIL_SHARE 0.4
 #define FAST_FAIL_PENALTY 4.0
 /* Age at which a latency average expires. */
 #define LATENCY_MAX_AGE_MS 3000
-/* In-flight requests per slot above which remote upstreams are eligible. */
+/* Local in-flight requests per slot from which remote upstreams are eligible.
+ */
 #define SPILL_LOAD_MIN 0.75
-/* How much less busy a remote one must be, in the same unit: flows that cross
- * are lost when data centres lose each other. */
+/* Required difference in in-flight requests per slot in favour of a remote
+ * upstream: flows between data centres are lost when the data centres are
+ * partitioned. */
 #define SPILL_LOAD_DIFF 0.5
-/* A service with more upstreams is sampled. */
+/* Above SCAN_MAX upstreams, a random sample of a service is compared. */
 #define SCAN_MAX 24
 #define SAMPLE_SIZE 12
-/* An upstream whose announcement is gone may still be alive: announcements
- * also lapse while the store is away, and are back within two seconds. */
+/* Grace period of an upstream whose announcement is gone: announcements also
+ * lapse while the store is unavailable, and are back within two seconds. */
 #define UNLISTED_GRACE_MS 2000
 
-/* Upstreams whose answer times make the service's usual one. */
+/* Upper bound of upstreams in the median response time of a service. */
 #define MEDIAN_MAX 64
 
-/* How well an upstream would do.  Lower is better. */
+/* Preference of an upstream; lower is better. */
 typedef enum {
     TIER_GOOD,
-    TIER_UNLISTED, /* not announced for a moment */
+    TIER_UNLISTED, /* announcement gone, within the grace period */
     TIER_SUSPECT,
-    TIER_NONE /* must not be taken */
+    TIER_NONE /* not eligible */
 } tier_t;
 
 typedef struct {
@@ -71,7 +73,7 @@
 }
 
 /* Load factor by latency.  An upstream that fails requests fast looks idle and
- * would draw most new flows. */
+ * would attract most new flows. */
 static double
 latency_penalty(const upstream_t *u, ms_t now)
 {
@@ -109,7 +111,7 @@
     return a->tier != b->tier ? a->tier < b->tier : a->cost < b->cost;
 }
 
-/* The best of N upstreams of GROUP, in a row or drawn at random. */
+/* Returns the best of N upstreams of GROUP, consecutive or drawn at random. */
 static pick_t
 best_among(flowset_t *f, ms_t now, const group_t *group, uint32_t n,
            bool sampled, const upstream_t *exclude)
@@ -129,8 +131,9 @@
     return best;
 }
 
-/* The best of GROUP; ties go to the first from a random start, so that
- * instances that know the same don't all take the same. */
+/* Returns the best upstream of GROUP.  The scan starts at a random place and
+ * ties go to the first one found, so that instances with the same view don't
+ * all select the same upstream. */
 static pick_t
 best_of(flowset_t *f, ms_t now, const group_t *group,
         const upstream_t *exclude)
@@ -140,14 +143,15 @@
     if (group->n > SCAN_MAX) {
         best = best_among(f, now, group, SAMPLE_SIZE, true, exclude);
     }
-    /* A sample may hold none that may be taken although there are some. */
+    /* The sample may contain no eligible upstream although there are some. */
     return best.up != NULL
                ? best
                : best_among(f, now, group, group->n, false, exclude);
 }
 
-/* The own data centre first: a flow that crosses is lost when data centres
- * lose each other.  Another only when it is clearly better for the caller. */
+/* Prefers the instance's own data centre: flows between data centres are lost
+ * when the data centres are partitioned.  A remote upstream is selected only
+ * if it is clearly better for the caller. */
 static upstream_t *
 choose_in_service(flowset_t *f, ms_t now, const service_t *s,
                   const upstream_t *exclude)
@@ -172,7 +176,8 @@
                : local.up;
 }
 
-/* U, or where its group is full one of the other group that is not. */
+/* Returns U if its group's limit admits the request, or else an upstream of
+ * the other group whose limit does. */
 static choice_t
 within_limits(flowset_t *f, ms_t now, service_t *s, upstream_t *u,
               uint32_t priority)
@@ -198,7 +203,8 @@
     return (x > y) - (x < y);
 }
 
-/* Adds the averages of GROUP that are fresh to MS, from place N on. */
+/* Appends the current latency averages of GROUP to MS at index N; returns the
+ * new count. */
 static size_t
 collect_latencies(const group_t *group, ms_t now, double *ms, size_t n)
 {
@@ -222,7 +228,7 @@
     s->answer_ms = n > 0 ? ms[n / 2] : 0;
 }
 
-/* One of the route's targets, by weight. */
+/* Selects one of the route's targets at random, by weight. */
 static const flow_target_t *
 draw_target(flowset_t *f, const flow_route_t *r)
 {
@@ -243,7 +249,8 @@
     return t;
 }
 
-/* An upstream of S warms up and has its share of new flows. */
+/* Returns true if an upstream of S is in slow start and has reached this
+ * instance's share of new flows. */
 static bool
 has_warm_up(const flowset_t *f, const service_t *s, ms_t now)
 {
--- a/flow/decide.c
+++ b/flow/decide.c
@@ -1,8 +1,8 @@
-/* What becomes of a packet. */
+/* Decision for each packet: forward, reset or drop. */
 #include "flow/state.h"
 
-/* Weight of a new sample in the moving averages of the time to an answer: the
- * last five or so count. */
+/* Smoothing factor of the average response time (EWMA): about the last five
+ * samples count. */
 #define LATENCY_WEIGHT 0.2
 
 static const char *const reasons[FLOW_REASONS] = {
@@ -69,14 +69,14 @@
     f->spec.emit(f->spec.arg, &out);
 }
 
-/* An answer's first acknowledgement. */
+/* Handles the first acknowledgement of a response. */
 static void
 on_answer(flowset_t *f, ms_t now, record_t *r)
 {
     double ms = (double)(now - r->request_at);
 
     hist_add(&f->stats.answer_ms, (uint64_t)ms);
-    if (r->idempotent) { /* uploads take as long as the caller sends */
+    if (r->idempotent) { /* the duration of an upload depends on the caller */
         update_average(&r->up->answer_ms, LATENCY_WEIGHT, ms + 1);
         r->up->answered_at = now;
         if (r->goal_ms > 0 && limit_on_response(&r->up->group->limit, now,
@@ -89,7 +89,7 @@
     record_request_end(r);
 }
 
-/* A packet of a flow whose upstream is known. */
+/* Updates the record of a flow with a later packet. */
 static void
 track_flow(flowset_t *f, ms_t now, const flow_packet_t *p, record_t *r)
 {
@@ -109,7 +109,8 @@
         r->ack = p->ack;
         reach_alive(f, now - p->age_ms, u);
         if (r->request_at != 0 && new_data) {
-            /* It was answered at a time not known: the caller has paused. */
+            /* The response time is unknown: the caller paused before this
+             * request. */
             record_request_end(r);
         }
         else if (r->request_at != 0) {
@@ -136,8 +137,9 @@
     list_append(&f->recent, &r->recent);
 }
 
-/* May a flow be ended that its upstream can't be told of?  Only if the caller
- * may repeat what it asked for, and asks for something now. */
+/* Returns true if a flow may be reset although its upstream can't be notified:
+ * only if the upstream is unreachable, the caller may repeat its request, and
+ * the packet carries request data. */
 static bool
 may_reset_unreachable(const flowset_t *f, const flow_packet_t *p,
                       const upstream_t *u)
@@ -192,13 +194,14 @@
         d->asks = !asked && r->request_at != 0;
     }
     if (r != NULL && p->ends) {
-        record_ended(r); /* kept: the last packets must not look like a flow */
+        record_ended(r); /* kept, so that the flow's last packets don't create
+                          * a new record */
     }
 }
 
-/* May another opening packet of the same caller have opened the flow, through
- * another instance or before an upstream died?  Then the caller must not be
- * told that it failed. */
+/* Returns true if another opening packet of the same caller may have opened
+ * the flow, through another instance or before an upstream died.  The caller
+ * must then not be reset. */
 static bool
 maybe_opened_elsewhere(const flow_packet_t *p)
 {
@@ -221,8 +224,8 @@
                            : FLOW_NO_UPSTREAM;
 }
 
-/* A copy of an opening packet that nobody answered: another upstream takes it,
- * or the same if it is the only one. */
+/* Handles a copy of an unanswered opening packet: it goes to another upstream,
+ * or to the same one if there is no other. */
 static void
 handle_opening_copy(flowset_t *f, ms_t now, record_t *r,
                     const flow_route_t *route, flow_decision_t *d)
@@ -234,7 +237,7 @@
     c = choose(f, now, route, r->up, ADMIT_ALL);
     u = c.up;
     if (u == NULL) {
-        decide(d, FLOW_DROP, refusal_reason(&c)); /* as refuse_opening() */
+        decide(d, FLOW_DROP, refusal_reason(&c)); /* as in refuse_opening() */
         record_free(f, r);
         return;
     }
@@ -264,7 +267,7 @@
         handle_opening_copy(f, now, r, route, d);
         return;
     }
-    if (r != NULL) { /* the caller's port is used again */
+    if (r != NULL) { /* the caller reuses its port */
         record_free(f, r);
     }
     c = choose(f, now, route, NULL,
--- a/flow/directory.c
+++ b/flow/directory.c
@@ -1,4 +1,4 @@
-/* Routes and upstreams: what there is, found by address, id and tag. */
+/* Routes and upstreams, by address, id and tag. */
 #include "flow/state.h"
 
 #include <errno.h>
@@ -107,8 +107,9 @@
     }
     u->local = strcmp(a->data_centre, f->data_centre) == 0;
     u->group = u->local ? &u->service->local : &u->service->remote;
-    /* Tags are 32 bits of an id: two upstreams may share one.  Packets could
-     * then reach the wrong one and be reset, so the later one gets no flow. */
+    /* A tag is 32 bits of an id, so two upstreams may have the same tag.
+     * Packets could then reach the wrong one and be reset, so the later one
+     * gets no flows. */
     u->tag_taken =
         (uint32_t)a->id == 0 || upstream_by_tag(f, (uint32_t)a->id) != NULL;
     u->evacuated = flowset_is_evacuated(f, a->data_centre);
--- a/flow/flow.h
+++ b/flow/flow.h
@@ -1,23 +1,22 @@
-/* flow: the decisions for services whose flows carry a tag.
+/* flow: forwarding decisions for services whose flows carry a tag.
  *
- * A tag is a number that both ends of a flow echo in each packet.  The opening
- * packet is given the tag of the upstream that was chosen; each later packet
- * names its upstream by it.  So any instance can forward any packet, and no
- * instance has to tell another about a flow.  (QUIC-LB connection IDs and
+ * A tag is a number that both endpoints of a flow echo in each packet.  The
+ * opening packet is given the tag of the selected upstream; each later packet
+ * identifies its upstream by the tag.  Any instance can therefore forward any
+ * packet, and instances share no per-flow state.  (QUIC-LB connection IDs and
  * SYN cookies work alike.)
  *
- * Pure: no sockets, threads, clocks or globals.  Time comes in with each call;
- * what is to be done goes out through a callback.  What an instance remembers
- * of a flow serves only to judge upstreams: losing it breaks nothing.
+ * The module is pure: no sockets, threads, clocks or globals.  Time is passed
+ * in with each call; actions are emitted through a callback.  The records of
+ * flows serve only to judge the health and load of upstreams: losing them
+ * breaks nothing.
  *
- * The files call downwards only: flows.c (entry points), decide.c (what
- * becomes of a packet), waits.c (what goes unanswered), reach.c (which
- * upstream answers), choice.c (which takes a new flow), warmup.c (new flows
- * during slow start), records.c (what is remembered of a flow), limit.c (how
- * many requests may be in progress), directory.c (routes and upstreams),
- * index.c (a hash table).  pacer.c stands by itself: when forwarded packets
- * leave.
- */
+ * The files call downwards only: flows.c (entry points), decide.c (decision
+ * for a packet), timeouts.c (unanswered openings and requests), reach.c
+ * (health of upstreams), choice.c (selection of an upstream), warmup.c (new
+ * flows during slow start), records.c (records of flows), limit.c (concurrency
+ * limits), directory.c (routes and upstreams), index.c (hash table).  pacer.c
+ * is independent: it paces forwarded packets. */
 #ifndef SISKIN_FLOW_H
 #define SISKIN_FLOW_H
 
@@ -27,35 +26,35 @@
 extern "C" {
 #endif
 
-#define FLOW_NAME_LEN 64 /* a service, route or data centre name + NUL */
+#define FLOW_NAME_LEN 64 /* service, route or data centre name + NUL */
 
-/* ---- What is configured ---- */
+/* ---- Configuration ---- */
 
-/* A service that a route's new flows may go to. */
+/* A service that receives new flows of a route. */
 typedef struct {
     char service[FLOW_NAME_LEN];
     uint32_t weight; /* share of the route's new flows; 0: none */
 } flow_target_t;
 
-/* An address that callers send to. */
+/* An address that callers connect to. */
 typedef struct {
     addr_t addr;
     char name[FLOW_NAME_LEN];
-    bool idempotent; /* its requests are idempotent: callers may retry them */
-    uint32_t priority; /* 0: the most urgent */
-    ms_t goal_ms;      /* an answer is worth less after it; 0: not told */
+    bool idempotent;   /* requests are idempotent: callers may retry them */
+    uint32_t priority; /* 0: most urgent */
+    ms_t goal_ms;      /* response time objective; 0: not set */
     uint32_t first;    /* index of its first target */
     uint32_t n_targets;
 } flow_route_t;
 
-/* What a service's upstreams bear while they warm up. */
+/* Load limits of a service's upstreams during slow start. */
 typedef struct {
     char service[FLOW_NAME_LEN];
     double warm_up_per_s; /* new flows a second, from all instances; 0: not
-                           * told */
+                           * set */
 } flow_service_t;
 
-/* One version of the routes.  The arrays are on the heap. */
+/* One version of the routes.  The arrays are heap-allocated. */
 typedef struct {
     uint64_t version;
     ms_t idle_ms; /* idle timeout of a flow */
@@ -67,91 +66,93 @@
 
 void flow_conf_free(flow_conf_t *c);
 
-/* One incarnation of an upstream, as it was last announced. */
+/* One incarnation of an upstream, as last announced. */
 typedef struct {
     uint64_t revision; /* of the announcement: of two upstreams at one address
-                        * the later announced one is there now */
-    uint64_t id;       /* the low 32 bits are its tag */
+                        * the one with the later announcement is current */
+    uint64_t id;       /* the low 32 bits are the tag */
     addr_t addr;
     char service[FLOW_NAME_LEN];
     char data_centre[FLOW_NAME_LEN];
-    uint32_t slots;  /* requests it runs at once, at least 1 */
-    bool draining;   /* takes no new flow; what it has goes on */
-    ms_t warm_up_ms; /* time left in slow start */
-    int64_t born_ms; /* when its process started, by its own time of day; a
-                      * change means that it holds no flow of before.  0: not
-                      * told */
+    uint32_t slots;  /* concurrent requests, at least 1 */
+    bool draining;   /* takes no new flows; open flows continue */
+    ms_t warm_up_ms; /* remaining slow start */
+    int64_t born_ms; /* start of its process, by its own wall clock; a change
+                      * means that it holds none of its former flows. 0: not
+                      * reported */
 } flow_upstream_t;
 
 /* ---- Packets ---- */
 
-/* What is read of a caller's packet. */
+/* The fields of a caller's packet that decisions use. */
 typedef struct {
     addr_t caller, service;
     bool opens, ends, resets; /* SYN, FIN, RST */
-    uint32_t seq;             /* of its first byte of data */
-    uint32_t ack; /* the next byte expected; of an opening packet: how many
-                   * copies of it were sent before */
-    uint32_t tag; /* the last that the caller received; 0: none yet */
+    uint32_t seq;             /* of the first data byte */
+    uint32_t ack; /* next byte expected; in an opening packet: how many copies
+                   * were sent before */
+    uint32_t tag; /* last tag that the caller received; 0: none yet */
     uint16_t len; /* bytes of data */
-    ms_t age_ms;  /* how long it waited until it was read */
+    ms_t age_ms;  /* time from arrival until it was read */
 } flow_packet_t;
 
 typedef enum { FLOW_FORWARD, FLOW_RESET, FLOW_DROP } flow_verb_t;
 
 typedef enum {
-    FLOW_BY_TAG,        /* forwarded: the tag names the upstream */
+    FLOW_BY_TAG,        /* forwarded to the upstream identified by the tag */
     FLOW_CHOSEN,        /* forwarded: a new flow */
-    FLOW_COPY,          /* forwarded: a copy of an opening packet, as before */
+    FLOW_COPY,          /* forwarded: a copy of an opening packet, to the same
+                         * upstream */
     FLOW_COPY_MOVED,    /* forwarded: a copy, to another upstream */
-    FLOW_NO_ROUTE,      /* reset: nothing is configured at that address */
-    FLOW_NO_UPSTREAM,   /* reset: no upstream of the service can take it.
-                         * These four are dropped where another opening
-                         * packet of the caller may have opened the flow */
-    FLOW_WARM_UP,       /* the same: those that could warm up, and have their
-                         * share of new flows */
-    FLOW_EVACUATED,     /* the same: the data centres of those that could are
-                         * evacuated */
-    FLOW_OVERLOAD,      /* reset: it would not be answered within its goal */
-    FLOW_UPSTREAM_DEAD, /* reset: its upstream has ended */
-    FLOW_UPSTREAM_OUT,  /* reset: its upstream can't be reached, and its
-                         * requests may be repeated */
+    FLOW_NO_ROUTE,      /* reset: no route at that address */
+    FLOW_NO_UPSTREAM,   /* reset: no upstream of the service is eligible.
+                         * FLOW_NO_ROUTE to FLOW_EVACUATED are dropped instead
+                         * where another opening packet of the caller may have
+                         * opened the flow */
+    FLOW_WARM_UP,       /* the same: the eligible upstreams are in slow start
+                         * and have reached their share of new flows */
+    FLOW_EVACUATED,     /* the same: the data centres of the eligible upstreams
+                         * are evacuated */
+    FLOW_OVERLOAD,      /* reset: the request would miss its goal */
+    FLOW_UPSTREAM_DEAD, /* reset: the upstream has ended */
+    FLOW_UPSTREAM_OUT,  /* reset: the upstream is unreachable, and its requests
+                         * may be repeated */
     FLOW_TAG_UNKNOWN,   /* dropped: no upstream here has that tag */
-    FLOW_TAG_NONE,      /* dropped: it neither opens a flow nor has a tag */
+    FLOW_TAG_NONE,      /* dropped: not an opening packet, and without a tag */
     FLOW_REASONS
 } flow_reason_t;
 
-/* A short word for logs and metrics, such as "no-route". */
+/* Short name for logs and metrics, such as "no-route". */
 const char *flow_reason_name(flow_reason_t r);
 
 typedef struct {
     flow_verb_t verb;
     flow_reason_t reason;
-    uint64_t upstream; /* its id; forwarded packets only */
+    uint64_t upstream; /* upstream id; forwarded packets only */
     addr_t to;
-    uint32_t tag;        /* to be put into an opening packet */
-    const char *service; /* chosen; NULL where none was */
-    uint32_t busy, open; /* the upstream's requests and flows seen here; of a
-                          * refused opening, its data centre's requests */
-    uint32_t limit;      /* of those; 0: none in force */
-    uint64_t version;    /* of the routes that decided */
-    bool asks;           /* a request begins with this packet */
+    uint32_t tag;        /* to set in an opening packet */
+    const char *service; /* selected service; NULL if none */
+    uint32_t busy, open; /* requests and flows of the upstream seen here; for a
+                          * refused opening, requests of its group */
+    uint32_t limit;      /* concurrency limit on BUSY; 0: none in force */
+    uint64_t version;    /* version of the routes used */
+    bool asks;           /* this packet begins a request */
 } flow_decision_t;
 
-/* ---- What goes out on its own account ---- */
+/* ---- Actions and events ---- */
 
 typedef enum {
-    FLOW_OUT_RESET, /* tell a caller that its flow has ended */
-    FLOW_OUT_PROBE, /* try to connect to an upstream */
-    FLOW_OUT_REACH, /* for the log: an upstream's reach has changed */
-    FLOW_OUT_LIMIT  /* for the log: a limit begins or ends */
+    FLOW_OUT_RESET, /* reset a caller's flow */
+    FLOW_OUT_PROBE, /* start a TCP connect probe of an upstream */
+    FLOW_OUT_REACH, /* log: an upstream's reachability changed */
+    FLOW_OUT_LIMIT  /* log: a limit begins or ends */
 } flow_out_kind_t;
 
-/* Whether an upstream answers. */
+/* Reachability of an upstream. */
 typedef enum {
     REACH_GOOD,
-    REACH_SUSPECT, /* callers' packets go unanswered: a probe is under way */
-    REACH_UNREACHABLE, /* it did not answer probes */
+    REACH_SUSPECT, /* callers' packets are unanswered; a probe is under way */
+    REACH_UNREACHABLE, /* probes timed out */
     REACH_DEAD         /* its host refused a probe: the process has ended */
 } flow_reach_t;
 
@@ -163,7 +164,7 @@
     union {
         struct {
             addr_t caller, service;
-            uint32_t seq; /* within what the caller accepts */
+            uint32_t seq; /* within the caller's receive window */
             flow_reason_t reason;
         } reset;
         struct {
@@ -175,31 +176,32 @@
             const char *why;
             addr_t addr;
             const char *service, *data_centre;
-            uint32_t open; /* flows seen here */
+            uint32_t open; /* open flows seen by this instance */
         } reach;
         struct {
             const char *service;
-            bool local;       /* of its upstreams in this data centre, or of
-                               * those in others */
-            bool in_force;    /* it begins */
+            bool local;       /* applies to the upstreams in this data centre,
+                               * or to those in others */
+            bool in_force;    /* the limit begins */
             uint32_t busy;    /* requests in progress */
-            uint32_t most;    /* as many may be */
-            double slow;      /* what slow answers take, as a share of goals */
-            double target;    /* what they should take */
-            uint64_t refused; /* since it began */
+            uint32_t most;    /* limit on BUSY */
+            double slow;      /* high quantile of response times, as a share of
+                               * goals */
+            double target;    /* target for that quantile */
+            uint64_t refused; /* requests refused since the limit began */
         } limit;
     };
 } flow_out_t;
 
 typedef void flow_emit_t(void *arg, const flow_out_t *out);
 
-/* How a probe ended. */
+/* Result of a probe. */
 typedef enum {
     PROBE_ANSWERED,
-    PROBE_REFUSED, /* nothing listens there */
+    PROBE_REFUSED, /* connection refused: nothing listens there */
     PROBE_RESET,   /* accepted, then reset */
     PROBE_SILENT,
-    PROBE_NONE, /* it could not be made: nothing is known */
+    PROBE_NONE, /* the probe could not be sent: no result */
     PROBE_RESULTS
 } flow_probe_t;
 
@@ -208,114 +210,121 @@
 typedef struct flowset flowset_t;
 
 typedef struct {
-    const char *data_centre; /* the instance's own */
-    uint64_t seed;           /* of its choices */
-    uint32_t records_max;    /* flows remembered; older ones are forgotten */
+    const char *data_centre; /* of this instance */
+    uint64_t seed;           /* of random choices */
+    uint32_t records_max;    /* limit on tracked flows; the least recently used
+                              * are dropped */
     ms_t flow_ttl_ms;        /* upper bound of a flow's lifetime */
-    /* Bound of new flows at an upstream that warms up, in a second: what it
-     * bears times WARM_UP_OVER, and WARM_UP_SLACK more. */
+    /* Upper bound of new flows a second at an upstream in slow start: its
+     * configured rate times WARM_UP_OVER, plus WARM_UP_SLACK. */
     double warm_up_over, warm_up_slack;
     flow_emit_t *emit;
     void *arg;
 } flow_spec_t;
 
-/* NULL without memory. */
+/* Returns NULL if out of memory. */
 flowset_t *flowset_new(const flow_spec_t *spec);
 void flowset_free(flowset_t *f);
 
-/* Takes C.  -ESTALE: its version isn't newer, and C is freed. */
+/* Takes ownership of C.  Returns -ESTALE, with C freed, if its version isn't
+ * newer. */
 int flowset_set_conf(flowset_t *f, ms_t now, flow_conf_t *c);
-/* An upstream is announced, or announced anew.  -ENOMEM: it isn't used. */
+/* Adds or updates an announced upstream.  Returns -ENOMEM if it can't be used
+ * for lack of memory. */
 int flowset_set_upstream(flowset_t *f, ms_t now, const flow_upstream_t *u);
-/* An upstream's announcement is gone.  Its flows are left alone until a probe
- * shows that it has ended. */
+/* Handles the end of an upstream's announcement.  Its flows continue until a
+ * probe shows that the process has ended. */
 void flowset_remove_upstream(flowset_t *f, ms_t now, uint64_t id);
-/* The operator, at revision REVISION of the store, evacuates a data centre:
- * its upstreams get no new flow until the evacuation ends, and open flows go
- * on. It ends once all announcements up to then are known: upstreams may have
- * become cold shortly before.  The number of upstreams there.  -ENOSPC:
- * EVACUATIONS_MAX are under way; -ENOMEM: some upstreams are not offered
- * again.
- */
+/* Applies the operator's evacuation of a data centre, made at store revision
+ * REVISION: its upstreams get no new flows until the evacuation ends, and open
+ * flows continue.  An evacuation ends only once all announcements up to that
+ * revision are known, because upstreams may have become cold shortly before.
+ * Returns the number of upstreams there; -ENOSPC if EVACUATIONS_MAX
+ * evacuations are active; -ENOMEM if some upstreams could not be offered
+ * again. */
 #define EVACUATIONS_MAX 64
 int flowset_evacuate(flowset_t *f, const char *data_centre, bool evacuated,
                      uint64_t revision);
-/* An evacuation waits for announcements to end. */
+/* Returns true if the end of an evacuation is waiting for announcements. */
 bool flowset_evacuation_ends(const flowset_t *f);
-/* All announcements up to REVISION have been given. */
+/* All announcements up to REVISION have been applied. */
 void flowset_upstreams_known(flowset_t *f, uint64_t revision);
 bool flowset_is_evacuated(const flowset_t *f, const char *data_centre);
-/* The instances that open flows at this data centre's upstreams while those
- * warm up, named by numbers: the same list at all of them, so that the sum of
- * their shares is within the bound although none counts the others' flows.
- * SELF is in it, or opens none. */
+/* Sets the instances, by number, that open flows at this data centre's
+ * upstreams during slow start.  All of them have the same list, so that the
+ * sum of their shares stays within the bound although no instance counts the
+ * flows of others.  If SELF is not in the list, this instance opens none. */
 #define WARMERS_MAX 16
 void flowset_set_warmers(flowset_t *f, uint64_t self, const uint64_t *warmer,
                          uint32_t n);
 void flowset_packet(flowset_t *f, ms_t now, const flow_packet_t *p,
                     flow_decision_t *d);
 void flowset_probed(flowset_t *f, ms_t now, uint64_t id, flow_probe_t result);
-/* The process stood still until NOW: what went unanswered meanwhile proves
+/* The process was paused until NOW: missing responses from that time prove
  * nothing. */
 void flowset_paused(flowset_t *f, ms_t now);
-/* Does what is due; returns when to be called next, MS_NEVER for never. */
+/* Runs what is due; returns the time of the next call, MS_NEVER for none. */
 ms_t flowset_tick(flowset_t *f, ms_t now);
 
-/* ---- What there is ---- */
+/* ---- Statistics ---- */
 
 typedef struct {
     uint64_t version; /* 0: none yet */
     uint32_t routes, upstreams, usable, records;
-    uint32_t limits;    /* in force: two at most for a service */
+    uint32_t limits;    /* in force; at most two for a service */
     uint32_t evacuated; /* data centres */
     uint64_t packets[FLOW_REASONS];
     uint64_t probes[PROBE_RESULTS];
-    uint64_t resets;    /* of flows, not asked for by a packet */
-    uint64_t forgotten; /* records given up for room */
-    hist_t answer_ms;   /* from a request to the first packet that
-                         * acknowledges an answer */
-    hist_t open_ms;     /* from an opening packet to the next of its flow */
+    uint64_t resets;    /* resets of flows that no packet triggered */
+    uint64_t forgotten; /* records dropped at records_max */
+    hist_t answer_ms;   /* from a request to the first packet that acknowledges
+                         * a response */
+    hist_t open_ms;     /* from an opening packet to the next packet of the
+                         * flow */
 } flow_stats_t;
 
 const flow_stats_t *flowset_stats(flowset_t *f);
-/* True once there are routes and an upstream: packets can be served. */
+/* Returns true once there are routes and an upstream, so that packets can be
+ * served. */
 bool flowset_ready(const flowset_t *f);
 
 /* ---- The outgoing link ---- */
 
-/* Paces packets to the rate of the instance's link.  Those of a flow stay in
- * order, and flows take turns. */
+/* Paces packets to the rate of the instance's link.  The packets of a flow
+ * stay in order, and flows are served in turn. */
 typedef struct pacer pacer_t;
 
-#define PACER_MAX 256 /* packets that may wait */
+#define PACER_MAX 256 /* limit on queued packets */
 
-/* A packet that waits; the caller embeds it beside the bytes. */
+/* A queued packet; the user embeds it beside the bytes. */
 typedef struct {
-    link_t link; /* of its flow's queue */
+    link_t link; /* in its flow's queue */
     struct pacer_flow *flow;
     addr_t caller, service;
     uint32_t seq;
     uint16_t len;   /* bytes of data */
-    uint32_t bytes; /* on the link, headers included */
+    uint32_t bytes; /* size on the link, headers included */
 } paced_t;
 
-/* RATE is the link's, in bytes a second; 0: not limited.  NULL without
- * memory. */
+/* RATE is the link's rate in bytes a second; 0: unlimited.  Returns NULL if
+ * out of memory. */
 pacer_t *pacer_new(uint64_t rate);
 void pacer_free(pacer_t *p);
-/* True: a packet of BYTES may leave now, and is counted. */
+/* Returns true if a packet of BYTES may be sent now, and counts it. */
 bool pacer_admit(pacer_t *p, ms_t now, uint32_t bytes);
-/* The packet that waits with the same data of the same flow, or NULL.  A
- * retransmission takes its place: forwarding both would only load the link. */
+/* Returns the queued packet with the same data of the same flow, or NULL.  A
+ * retransmission replaces it: forwarding both would only load the link. */
 paced_t *pacer_find(pacer_t *p, const flow_packet_t *packet);
-/* W waits.  There are PACER_MAX at most. */
+/* Queues W.  The caller keeps the number of queued packets to at most
+ * PACER_MAX. */
 void pacer_push(pacer_t *p, paced_t *w);
-/* Takes out the last packet of the flow that has most waiting; NULL: none
- * waits. */
+/* Removes the last packet of the longest queue; returns NULL if none is
+ * queued. */
 paced_t *pacer_evict(pacer_t *p);
-/* Takes out the next packet that may leave now, and counts it; or NULL. */
+/* Removes and counts the next packet that may be sent now; returns NULL if
+ * there is none. */
 paced_t *pacer_pop(pacer_t *p, ms_t now);
-/* When the next packet may leave; MS_NEVER: none waits. */
+/* Time at which the next packet may be sent; MS_NEVER: none is queued. */
 ms_t pacer_due(const pacer_t *p);
 uint32_t pacer_waiting(const pacer_t *p);
 
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -1,14 +1,14 @@
-/* The flows of one instance: packets, announcements and time come in here. */
+/* Entry points of a flow set: packets, announcements and time. */
 #include "flow/state.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Flows that an upstream may still hold, behind the longest lifetime of one:
- * its announcement may lapse before it ends. */
+/* Margin beyond the longest flow lifetime before an upstream is dropped: its
+ * announcement may lapse before the upstream ends. */
 #define EXPIRY_MARGIN_MS 30000
-/* Period of the look through all records. */
+/* Interval of the sweep over all records. */
 #define SWEEP_MS 500
 
 flowset_t *
@@ -38,8 +38,8 @@
     return f;
 }
 
-/* U has started anew under its id: it holds none of these flows, and resets
- * them itself when their callers send again. */
+/* Discards the records of U, which has restarted under its id: it holds none
+ * of these flows, and resets them itself when their callers retransmit. */
 static void
 discard_records(flowset_t *f, upstream_t *u)
 {
@@ -92,7 +92,7 @@
     return rc != 0 ? rc : (int)x->addr.port - (int)y->addr.port;
 }
 
-/* Without memory for a service its upstreams aren't used either. */
+/* If memory for a service runs out, its upstreams aren't used either. */
 static void
 set_services(flowset_t *f, const flow_conf_t *c)
 {
@@ -131,9 +131,10 @@
     reach_dead(f, now, u, "its address is another upstream's now");
 }
 
-/* An address is given to another upstream only after the one that was there
- * has ended, though its announcement may outlast it.  Ends those announced
- * before A; true when A itself is the former one. */
+/* An address is assigned to another upstream only after its previous upstream
+ * has ended, though the previous announcement may outlast it.  Retires the
+ * upstreams at the address that were announced before A; returns true if A
+ * itself is superseded. */
 static bool
 retire_previous(flowset_t *f, ms_t now, const flow_upstream_t *a)
 {
@@ -163,7 +164,7 @@
     if (u != NULL && (strcmp(u->a.service, a->service) != 0 ||
                       strcmp(u->a.data_centre, a->data_centre) != 0 ||
                       !addr_eq(&u->a.addr, &a->addr))) {
-        drop_upstream(f, u); /* the id now stands for something else */
+        drop_upstream(f, u); /* the id has been reassigned */
         u = NULL;
     }
     if (u == NULL) {
@@ -194,9 +195,9 @@
     if (u->a.draining) {
         upstream_withdraw(u);
     }
-    /* It has left or died, or its announcement lapsed: ask its host, so that
-     * callers with idle flows needn't find out by waiting. */
-    reach_request_probe(f, now, u, "its announcement is gone");
+    /* The upstream has left or died, or its announcement lapsed: probe it, so
+     * that callers with idle flows don't have to find out by a timeout. */
+    reach_request_probe(f, now, u, "the announcement was removed");
 }
 
 void
@@ -211,7 +212,7 @@
 
 /* ---- Evacuations ---- */
 
-/* The place of DATA_CENTRE among the evacuated ones, or their number. */
+/* Index of DATA_CENTRE among the evacuated ones, or their number if absent. */
 static uint32_t
 evacuated_index(const flowset_t *f, const char *data_centre)
 {
@@ -231,7 +232,7 @@
 }
 
 /* Applies the evacuation of DATA_CENTRE, or its end, to the upstreams there;
- * returns how many. */
+ * returns their number. */
 static int
 evacuate_upstreams(flowset_t *f, const char *data_centre, bool evacuated)
 {
@@ -313,8 +314,8 @@
     for (uint32_t i = f->n_evacuated; i-- > 0;) {
         uint64_t ends_at = f->evacuated[i].ends_at;
         if (ends_at != 0 && ends_at <= f->upstreams_revision) {
-            end_evacuation(f, i); /* what isn't offered now is with its next
-                                   * announcement */
+            end_evacuation(f, i); /* on failure, an upstream is offered with
+                                   * its next announcement */
         }
     }
 }
@@ -383,7 +384,7 @@
     return f->n_records > 0 && f->sweep_at < next ? f->sweep_at : next;
 }
 
-/* ---- What there is ---- */
+/* ---- Statistics ---- */
 
 const flow_stats_t *
 flowset_stats(flowset_t *f)
--- a/flow/index.c
+++ b/flow/index.c
@@ -1,4 +1,4 @@
-/* A hash table of entries that lie in the structures they index. */
+/* A hash table of intrusive entries. */
 #include "flow/state.h"
 
 #include <errno.h>
--- a/flow/limit.c
+++ b/flow/limit.c
@@ -1,61 +1,64 @@
 /* Adaptive concurrency limit per group of upstreams, as seen by one instance.
  *
- * Load: callers ask for more than the upstreams can run, and queues make
- * nearly every answer late.  Rejecting the excess early keeps the queueing
- * delay of the rest below the latency objective.
+ * Under overload, callers send more requests than the upstreams can run, and
+ * queueing makes nearly every response late.  Rejecting the excess early keeps
+ * the queueing delay of the rest below the latency objective.
  *
- * Queueing delay shows in the time to an answer.  A limit begins when slow
- * answers exceed both a share of the goal and a multiple of the unloaded
+ * Queueing delay shows in the response time.  A limit begins when the tail
+ * latency exceeds both a share of the goal and a multiple of the unloaded
  * latency: a service that is slow by itself has no queue to shorten.
  *
  * With all slots full, latency is proportional to the requests in flight when
- * a request begins (Little's law).  Each answer tells at how many it would
- * have met the target, and the limit follows a low quantile of them.  Unlike
- * a limit that shrinks with each late answer, answers from a queue that is
- * gone don't lower it further.
- */
+ * a request begins (Little's law).  Each response yields the number of
+ * requests in flight at which it would have met the target, and the limit
+ * follows a low quantile of these numbers.  A limit that shrinks with each
+ * late response would be lowered further by responses from a queue that has
+ * already drained; this one isn't. */
 #include "flow/state.h"
 
-/* Target of slow answers, as a share of the goal. */
+/* Target of the tail latency, as a share of the goal. */
 #define TARGET 0.55
-/* Multiple of the unloaded latency beyond which answers have queued. */
+/* Multiple of the unloaded latency above which responses have queued. */
 #define QUEUE_FACTOR 2.75
-/* Above the median: fast rejections by a full upstream look like answers. */
+/* Quantile for the tail latency, above the median because fast rejections by a
+ * full upstream look like responses. */
 #define TAIL_QUANTILE 0.8
-/* Steps of running quantiles, relative: of the limit and of slow answers; of
- * the limit, upwards, while answers meet the target; of the median. */
+/* Relative steps of the running quantiles: STEP for the limit and the tail
+ * latency, GROW_STEP for raising the limit while responses meet the target,
+ * MEDIAN_STEP for the median. */
 #define STEP 0.15
 #define GROW_STEP 0.2
 #define MEDIAN_STEP 0.02
-/* Answers until the baseline is known, and the target until then. */
+/* Responses until the baseline is established, and the target until then. */
 #define BASELINE_ANSWERS 32
 #define INITIAL_TARGET 1.5
-/* Answers, while the baseline is doubtful, that are still looked at. */
+/* Responses used to learn the baseline while it is suspicious. */
 #define SUSPICIOUS_ANSWERS 48
-/* A baseline is doubtful when its target would exceed this share of the goal:
+/* A baseline is suspicious if its target would exceed this share of the goal:
  * the service is slow, or has queued from the first request on. */
 #define SUSPICIOUS_TARGET 0.9
-/* Squared correlation above which the first answers have queued. */
+/* Squared correlation above which the first responses have queued. */
 #define CORRELATION_MIN 0.25
-/* Rise of the baseline with each answer, relative: follows a service that has
+/* Relative rise of the baseline with each response: follows a service that has
  * become slower. */
 #define BASELINE_RISE 0.0001
-/* The same while a limit is in force, when answers hardly show the unloaded
+/* The same while a limit is in force, when responses hardly show the unloaded
  * latency. */
 #define BASELINE_RISE_LIMITED 0.00002
-/* Requests beyond what an answer justifies: lets a low limit grow. */
+/* Requests added to the estimate of each response: lets a low limit grow. */
 #define HEADROOM 1.0
-/* A limit ends after this time without a refusal. */
+/* Time without a refusal after which a limit ends. */
 #define RELEASE_MS 500
-/* Slow answers are then assumed at this share of the target. */
+/* Tail latency assumed at the end of a limit, as a share of the target. */
 #define RELEASED_SHARE 0.5
-/* Room beyond the limit, as a share of it, for requests that are a step of
- * priority or more above the average. */
+/* Extra share of the limit for requests whose priority is a step or more above
+ * the average. */
 #define PRIORITY_HEADROOM 0.5
 /* Smoothing factor of the average priority (EWMA). */
 #define PRIORITY_WEIGHT 0.02
 
-/* A step of *RUNNING towards quantile Q of what VALUE is one of. */
+/* Moves *RUNNING a step towards quantile Q of the samples; VALUE is one of
+ * them. */
 static void
 update_quantile(double *running, double q, double step, double value)
 {
@@ -94,9 +97,9 @@
     return QUEUE_FACTOR * b->median > SUSPICIOUS_TARGET;
 }
 
-/* Instances that start into overload see queues from their first request on.
- * Latency then grows with the requests in flight, and only the fastest answer
- * is near the unloaded latency. */
+/* Instances that start during overload see queues from their first request on.
+ * Latency then grows with the requests in flight, and only the fastest
+ * response is near the unloaded latency. */
 static void
 learn_baseline(baseline_t *b, double share, uint32_t in_flight)
 {
@@ -133,7 +136,8 @@
     return queued > TARGET ? queued : TARGET;
 }
 
-/* MAX_IN_FLIGHT would have been right for one answer. */
+/* Adapts the limit to a response for which MAX_IN_FLIGHT would have been
+ * right. */
 static void
 adapt(limit_t *l, double target, double max_in_flight)
 {
--- a/flow/pacer.c
+++ b/flow/pacer.c
@@ -1,40 +1,39 @@
 /* Paces forwarded packets to the instance's outgoing link.
  *
- * Callers send a window of packets at once.  Passed on as fast as they come,
+ * Callers send a window of packets at once.  Forwarded as fast as they arrive,
  * they overflow the short queue of a slow link: part of each window is lost,
  * callers retransmit all of it, and control traffic of this instance is lost
- * with it.  Paced, the window waits here and nothing is lost.
+ * with it.  With pacing, the window is queued here and nothing is lost.
  *
- * Flows take turns packet by packet (fair queueing), so that a short request
- * doesn't wait for the uploads that came before it.
- */
+ * Flows are served in turn, packet by packet (fair queueing), so that a short
+ * request doesn't wait behind earlier uploads. */
 #include "flow/flow.h"
 
 #include <stdlib.h>
 
 /* Share of the link for forwarded packets; the rest is for control traffic. */
 #define LINK_SHARE 0.95
-/* What the link's own queue may hold: enough to keep it busy between two
- * wake-ups. */
+/* Target length of the link's own queue: enough to keep the link busy between
+ * two wake-ups. */
 #define LINK_QUEUE_MS 4
-/* At least so many bytes: two packets of the longest. */
+/* Minimum of the same: two packets of maximum size. */
 #define LINK_QUEUE_MIN_BYTES 2600
 
-/* A flow with packets that wait. */
+/* A flow with queued packets. */
 typedef struct pacer_flow {
-    link_t link;    /* pacer_t.turns, or pacer_t.unused */
+    link_t link;    /* in pacer_t.active or pacer_t.unused */
     link_t packets; /* paced_t, oldest first */
     uint32_t n;
     addr_t caller, service;
 } pacer_flow_t;
 
 struct pacer {
-    double rate;      /* bytes a millisecond; 0: not limited */
-    double queue_max; /* bytes that the link's queue may hold */
-    double backlog;   /* bytes that the link has not sent yet */
-    ms_t at;          /* of that backlog */
-    uint32_t n;       /* packets that wait */
-    link_t active;    /* flows with packets, next first */
+    double rate;      /* bytes a millisecond; 0: unlimited */
+    double queue_max; /* limit on the link's queue, in bytes */
+    double backlog;   /* estimated bytes in the link's queue */
+    ms_t at;          /* time of that estimate */
+    uint32_t n;       /* queued packets */
+    link_t active;    /* flows with queued packets, next first */
     link_t unused;
     pacer_flow_t flow[PACER_MAX];
 };
@@ -77,7 +76,7 @@
     p->at = now;
 }
 
-/* May a packet leave now?  Then it is counted. */
+/* Returns true and counts the packet if it may be sent now. */
 static bool
 try_send(pacer_t *p, ms_t now, uint32_t bytes)
 {
--- a/flow/reach.c
+++ b/flow/reach.c
@@ -1,46 +1,47 @@
 /* Health of upstreams: good, suspect, unreachable, dead.
  *
- * An instance never sees upstreams' answers, which go straight to callers.  A
- * caller that goes on proves that its upstream was alive some milliseconds
- * ago; a retransmission makes the upstream suspect.  Suspicion alone resets
- * nothing: callers retransmit after a lost packet too, and when an upstream is
- * merely slow.  A probe, a bare TCP connection to the upstream's address,
- * clears or confirms it; the host's kernel answers:
+ * Instances never see upstreams' responses, which go straight to callers.  A
+ * caller's flow that makes progress proves that its upstream was alive some
+ * milliseconds ago; a retransmission makes the upstream suspect.  Suspicion
+ * alone resets nothing: callers also retransmit after packet loss and when an
+ * upstream is merely slow.  A probe, a plain TCP connection to the upstream's
+ * address, refutes or confirms it; the kernel of the host responds:
  *
  *   accepted   alive, however slow
- *   refused    the process has ended, and its flows with it; of an upstream
- *              that drains, when a probe is refused again after it has left
+ *   refused    the process has ended, and its flows with it; for a draining
+ *              upstream, only when a probe is refused again after its
+ *              announcement is gone
  *   reset      accepted first, so a process listened: too many connections, or
  *              it ended just then
  *   timeout    three in a row, while another upstream answers and hardly any
- *              probe of upstreams in good health was lost of late: unreachable
- *              from here
- */
+ *              recent probe of healthy upstreams was lost: unreachable from
+ *              this instance */
 #include "flow/state.h"
 
 #include <string.h>
 
-/* Timeout of a probe: several round trips between data centres. */
+/* Probe timeout: several round trips between data centres. */
 #define PROBE_TIMEOUT_MS 100
-/* Age at which a probe without a result counts as never made. */
+/* Age at which a probe without a result is discarded. */
 #define PROBE_EXPIRY_MS (8 * PROBE_TIMEOUT_MS)
-/* Probe timeouts in a row that make an upstream unreachable.  A full link
- * drops packets at random: two probes lost while another's passes is likely
- * there, three lost while two pass is not. */
+/* Probe timeouts in a row that make an upstream unreachable.  A saturated link
+ * drops packets at random: two lost probes with one successful control probe
+ * are likely there, three lost with two successful are not. */
 #define PROBE_TIMEOUTS_MAX 3
-/* Probe loss above which silence proves nothing. */
+/* Probe loss above which timeouts prove nothing. */
 #define PROBE_LOSS_MAX 0.05
 /* Smoothing factor of the loss estimate (EWMA). */
 #define PROBE_LOSS_WEIGHT 0.05
-/* Refused probes in a row that prove the end of an upstream that is leaving,
- * once its announcement is gone: it may close its port many seconds before its
- * last flows end, and of an upload no instance sees an answer until the end.
- * A crash ends both at once, and one refusal proves it. */
+/* Refused probes in a row that prove the end of a draining upstream, once its
+ * announcement is gone: it may close its port many seconds before its last
+ * flows end, and no instance sees a response to an upload until the upload
+ * ends.  A crash ends port and flows at once, so that one refusal proves it.
+ */
 #define REFUSED_DRAINING 2
-/* Grace period after an answered probe: packets that are retransmitted
- * meanwhile were sent before it. */
+/* Grace period after an answered probe: packets retransmitted during it were
+ * first sent before the probe. */
 #define PROBE_GRACE_MS 400
-/* Delay of the next probe after one that was reset. */
+/* Delay of the next probe after a probe was reset. */
 #define RESET_RETRY_MS 50
 /* Backoff between probes of an unreachable upstream. */
 #define RETRY_MIN_MS 400
@@ -113,7 +114,7 @@
     u->alive_at = at > u->alive_at ? at : u->alive_at;
     u->unanswered = 0;
     if (u->reach == REACH_SUSPECT && at >= u->probed_at) {
-        set_reach(f, u, REACH_GOOD, "a caller's flow goes on");
+        set_reach(f, u, REACH_GOOD, "a caller's flow made progress");
     }
 }
 
@@ -128,9 +129,9 @@
     }
 }
 
-/* An upstream that was dead or out may have started since, or the announcement
- * may have been under way when it ended: a probe tells at once, and until then
- * it gets no new flow. */
+/* An announced upstream that was dead or unreachable may have restarted, or
+ * the announcement may date from before its end.  A probe decides at once;
+ * until then it gets no new flows. */
 void
 reach_announced(flowset_t *f, ms_t now, upstream_t *u)
 {
@@ -165,13 +166,13 @@
     record_free(f, r);
 }
 
-/* Tells callers of a dead upstream at once: those that wait try elsewhere
- * within their goal, and those that are idle lose nothing.  What the upstream
- * held is lost, and waiting for it can't bring it back.
+/* Resets the flows of a dead upstream at once: waiting callers can retry
+ * elsewhere within their goal, and idle ones lose nothing.  The upstream's
+ * state is lost, so waiting is of no use.
  *
- * An opening packet is another matter once its caller may have sent a copy:
- * the copy may have gone through another instance and opened the flow at an
- * upstream that lives, or the first of them may have at a slow one. */
+ * A flow that isn't open yet is not reset once its caller may have sent a copy
+ * of the opening packet: the copy may have opened the flow through another
+ * instance at a live upstream, or the first packet may have at a slow one. */
 static void
 reset_all(flowset_t *f, ms_t now, upstream_t *u)
 {
@@ -187,9 +188,10 @@
     }
 }
 
-/* Callers that wait for an upstream that can't be reached send again only
- * after 400, 800 ms and more, past their deadline: those that may repeat their
- * request are told now.  Idle ones may find it back when they ask. */
+/* Resets the idempotent requests that wait for an unreachable upstream: their
+ * callers would retransmit only after 400, 800 ms and more, past their
+ * deadline. Idle flows stay, as the upstream may be reachable again for their
+ * next request. */
 static void
 reset_waiting(flowset_t *f, upstream_t *u)
 {
@@ -208,8 +210,8 @@
     reset_all(f, now, u);
 }
 
-/* An upstream that should answer: of this data centre if possible, the last
- * to have shown that it lives. */
+/* Selects an upstream for a control probe: healthy, local if possible, with
+ * the most recent sign of life. */
 static upstream_t *
 control_for(const flowset_t *f, const upstream_t *u)
 {
@@ -228,10 +230,10 @@
     return best;
 }
 
-/* A further try, with another upstream asked beside it.  An instance whose own
- * link or processor is overloaded finds every upstream silent; had it taken
- * that for their fault, it would reset flows that are merely late.  Only when
- * the other answers in time, each time, is the silence U's own. */
+/* Probes U again, together with a control probe of another upstream.  An
+ * instance whose own link or CPU is overloaded gets no response from any
+ * upstream, and must not reset flows that are merely late.  Only if the
+ * control is answered in time, each time, is the timeout attributed to U. */
 static void
 probe_with_control(flowset_t *f, ms_t now, upstream_t *u)
 {
@@ -244,7 +246,7 @@
     }
 }
 
-/* When to probe U again: less and less often. */
+/* Time of the next probe of U, with exponential backoff. */
 static ms_t
 next_retry(upstream_t *u, ms_t now)
 {
@@ -274,7 +276,7 @@
             reset_waiting(f, u);
         }
         else {
-            u->timeouts = 0; /* nothing is proved: all over again, later */
+            u->timeouts = 0; /* inconclusive: start over later */
         }
     }
     schedule(f, u, next_retry(u, now));
@@ -324,14 +326,15 @@
         u->unanswered = 0;
         u->alive_at = now;
         u->grace_until = now + PROBE_GRACE_MS;
-        set_reach(f, u, REACH_GOOD, "it answered a probe");
+        set_reach(f, u, REACH_GOOD, "a probe was answered");
         break;
     case PROBE_REFUSED:
         on_probe_refused(f, now, u);
         break;
     case PROBE_RESET:
-        /* An overloaded upstream does so while it serves.  Its flows must not
-         * be ended; if its process has, the next probe is refused. */
+        /* An overloaded upstream resets probes while it still serves, so its
+         * flows must not be reset.  If its process has ended, the next probe
+         * is refused. */
         u->timeouts = 0;
         schedule(f, u, now + RESET_RETRY_MS);
         break;
--- a/flow/records.c
+++ b/flow/records.c
@@ -1,5 +1,5 @@
-/* What is remembered of flows.  Bounded: the least recently used goes first.
- */
+/* Records of flows, bounded in number: the least recently used is dropped
+ * first. */
 #include "flow/state.h"
 
 #include <stdlib.h>
@@ -23,8 +23,8 @@
     return NULL;
 }
 
-/* Adds what R weighs to its upstream, or takes it away: a flow weighs while it
- * is open, a request while it is unanswered. */
+/* Adds the load of R to its upstream (SIGN 1) or removes it (SIGN -1): a flow
+ * counts while it is open, a request while it is unanswered. */
 static void
 update_load(const record_t *r, uint32_t sign)
 {
--- a/flow/state.h
+++ b/flow/state.h
@@ -1,4 +1,4 @@
-/* What the files of flow/ share; not for other directories. */
+/* Declarations shared by the files of flow/; not included elsewhere. */
 #ifndef SISKIN_FLOW_STATE_H
 #define SISKIN_FLOW_STATE_H
 
@@ -19,7 +19,8 @@
 
 int index_init(index_t *ix);
 void index_free(index_t *ix);
-/* Adds E.  Without memory to grow it stays at its size and is only slower. */
+/* Adds E.  If memory to grow runs out, the table keeps its size and lookups
+ * get slower. */
 void index_add(index_t *ix, entry_t *e, uint64_t hash);
 void index_remove(index_t *ix, entry_t *e);
 link_t *index_bucket(const index_t *ix, uint64_t hash);
@@ -31,44 +32,47 @@
 typedef struct {
     uint32_t in_flight;   /* requests in progress */
     double max_in_flight; /* 0: no limit in force */
-    double tail_latency;  /* running upper quantile of the time to an answer,
-                           * as a share of the goal; 0: none */
-    uint64_t refused;     /* requests, since the limit began */
-    ms_t refused_at;      /* the last request, or when the limit began */
-    double priority;      /* moving average of what is asked for */
+    double tail_latency;  /* running upper quantile of the response time, as a
+                           * share of the goal; 0: no sample yet */
+    uint64_t refused;     /* requests refused since the limit took effect */
+    ms_t refused_at;      /* last refusal, or start of the limit */
+    double priority;      /* moving average over requests */
 } limit_t;
 
-/* Correlation of answer times with the requests in progress at their start. */
+/* Correlation of response times with the number of requests in flight at their
+ * start. */
 typedef struct {
-    double n, x, y, xx, xy, yy; /* sums; x: requests, y: time */
-    double least;               /* y */
+    double n, x, y, xx, xy, yy; /* sums; x: in flight, y: time */
+    double least;               /* smallest y */
 } correlation_t;
 
 /* Unloaded latency of a service. */
 typedef struct {
-    double share;        /* of the goal */
-    double median;       /* running, of all answers; 0: none */
-    uint32_t answers;    /* that made it */
-    correlation_t first; /* of the first answers */
+    double share;        /* as a share of the goal */
+    double median;       /* running median of all responses; 0: no sample
+                          * yet */
+    uint32_t answers;    /* responses in the median */
+    correlation_t first; /* of the first responses */
 } baseline_t;
 
-/* The share of the goal that answers should take. */
+/* Target response time, as a share of the goal. */
 double limit_target(const baseline_t *b);
-/* An answer took SHARE of its request's goal, with IN_FLIGHT when the request
- * began.  True when a limit begins or ends. */
+/* Records a response that took SHARE of its request's goal; IN_FLIGHT requests
+ * were in progress when the request began.  Returns true if a limit begins or
+ * ends. */
 bool limit_on_response(limit_t *l, ms_t now, baseline_t *b, double share,
                        uint32_t in_flight);
-/* May a request of PRIORITY begin? */
+/* Returns true if a request of PRIORITY may begin. */
 bool limit_admits(limit_t *l, ms_t now, uint32_t priority);
 
 /* ---- Upstreams ---- */
 
 typedef struct service service_t;
 
-/* The upstreams of a service in this data centre, or those in others: queues
- * build up in one without the other. */
+/* The upstreams of a service in this data centre, or those in all others.
+ * Each group has its own limit because their queues build up independently. */
 typedef struct {
-    struct upstream **up; /* those that may be chosen */
+    struct upstream **up; /* eligible upstreams */
     uint32_t n;
     size_t cap;
     limit_t limit;
@@ -78,81 +82,87 @@
     flow_upstream_t a; /* as announced */
     entry_t by_id, by_tag, by_addr;
     link_t all;     /* flowset_t.upstreams */
-    link_t records; /* of the flows it holds, as seen here */
-    link_t due;     /* flowset_t.suspects: those with a probe or a wait */
+    link_t records; /* flows to this upstream seen by this instance */
+    link_t due;     /* flowset_t.suspects, if a probe is due or under way */
     service_t *service;
-    group_t *group; /* of the service */
+    group_t *group; /* of SERVICE */
     bool local;     /* in this instance's data centre */
-    bool listed;    /* announced now */
-    bool evacuated; /* its data centre is: no new flow */
-    bool tag_taken; /* an older upstream has its tag: no new flow */
+    bool listed;    /* currently announced */
+    bool evacuated; /* its data centre is evacuated: no new flows */
+    bool tag_taken; /* an older upstream has the same tag: no new flows */
     ms_t unlisted_at;
-    ms_t warm_at;        /* warmed up from then on */
-    ms_t warm_next;      /* until then it gets no new flow from here */
-    uint32_t open;       /* flows */
-    uint32_t busy;       /* requests unanswered and flows being opened */
-    uint32_t unanswered; /* opening packets, since the last sign of life */
-    double answer_ms;    /* moving average of the time to an answer; 0: none */
-    ms_t answered_at;    /* when it was last updated */
-    /* Reach */
+    ms_t warm_at;        /* end of slow start */
+    ms_t warm_next;      /* earliest time of the next new flow from this
+                          * instance */
+    uint32_t open;       /* open flows */
+    uint32_t busy;       /* unanswered requests and flows being opened */
+    uint32_t unanswered; /* unanswered opening packets since the last sign of
+                          * life */
+    double answer_ms;    /* moving average of the response time; 0: none */
+    ms_t answered_at;    /* last update of answer_ms */
+    /* Reachability */
     flow_reach_t reach;
     bool probing;
-    bool is_control;  /* that probe is only to compare another's with */
-    int timeouts;     /* probes in a row without an answer */
-    int refused;      /* probes in a row that were refused */
-    ms_t refused_at;  /* the last of them */
-    ms_t alive_at;    /* the last sign of life */
-    ms_t retry_ms;    /* the last wait between probes; 0: none yet */
-    ms_t probed_at;   /* the last one started */
+    bool is_control;  /* the probe under way is a control for another
+                       * upstream's probe */
+    int timeouts;     /* probe timeouts in a row */
+    int refused;      /* refused probes in a row */
+    ms_t refused_at;  /* last refused probe */
+    ms_t alive_at;    /* last sign of life */
+    ms_t retry_ms;    /* current backoff between probes; 0: none yet */
+    ms_t probed_at;   /* start of the last probe */
     ms_t probe_at;    /* when the next probe is due; MS_NEVER: none */
-    ms_t grace_until; /* not suspected before */
+    ms_t grace_until; /* no suspicion before this time */
 } upstream_t;
 
-/* A service and those of its upstreams that may be chosen. */
+/* A service and its eligible upstreams. */
 struct service {
     char name[FLOW_NAME_LEN];
-    uint32_t n_evacuated; /* upstreams */
-    double warm_up_per_s; /* of an upstream that warms up; 0: not told */
+    uint32_t n_evacuated; /* upstreams in evacuated data centres */
+    double warm_up_per_s; /* rate of new flows an upstream takes during slow
+                           * start; 0: not set */
     entry_t by_name;
     link_t link;           /* flowset_t.services */
     group_t local, remote; /* in this data centre; in others */
     baseline_t baseline;
-    double answer_ms; /* median of its upstreams' averages; 0: none.  A mean
-                       * would track_flow the one that is odd */
+    double answer_ms; /* median of the upstreams' averages; 0: none. A mean
+                       * would follow a single outlier */
 };
 
 /* ---- Records of flows ---- */
 
-/* Ends send again after 200 ms at the earliest.  Bytes seen before that come
- * sooner have only been overtaken on the way. */
+/* TCP endpoints retransmit after 200 ms at the earliest.  Bytes that repeat
+ * sooner were reordered by the network. */
 #define REPEAT_MIN_MS 150
 
 typedef struct {
     entry_t by_key;
     link_t recent;      /* flowset_t.recent, least recently used first */
-    link_t waiting;     /* flowset_t.opening or .asking, oldest first: a sign
-                         * that the upstream lives is waited for; then .late,
-                         * until the request is overdue */
-    link_t by_upstream; /* upstream_t.records */
+    link_t waiting;     /* in flowset_t.opening or .pending, oldest first,
+                         * while a sign of life of the upstream is awaited;
+                         * then in .slow until the request is overdue */
+    link_t by_upstream; /* in upstream_t.records */
     addr_t caller, service;
     upstream_t *up;
-    ms_t goal_ms;                /* of its route; 0: not told */
-    uint32_t in_flight_at_start; /* requests of the group */
+    ms_t goal_ms;                /* of its route; 0: not set */
+    uint32_t in_flight_at_start; /* requests in flight in the group */
     bool idempotent;
-    bool open;          /* a packet came after the opening one */
-    bool retransmitted; /* another opening packet may have opened the flow */
-    bool ended;         /* the caller has closed it: no load any more */
-    bool overdue;       /* its request is older than its goal */
-    uint32_t seq_end;   /* behind the last byte that the caller sent */
-    uint32_t ack;       /* the caller's last */
-    ms_t sent_at;       /* the caller's last new bytes, or opening packet */
-    ms_t request_at;    /* first bytes of an unanswered request; 0: none */
+    bool open;          /* a packet followed the opening one */
+    bool retransmitted; /* another copy of the opening packet may have opened
+                         * the flow */
+    bool ended;         /* closed by the caller: counts as no load */
+    bool overdue;       /* the request is older than its goal */
+    uint32_t seq_end;   /* sequence number after the caller's last byte */
+    uint32_t ack;       /* last acknowledgement number from the caller */
+    ms_t sent_at;       /* the caller's last new data or opening packet */
+    ms_t request_at;    /* start of the unanswered request; 0: none */
     ms_t last_at;
 } record_t;
 
 typedef struct {
     char data_centre[FLOW_NAME_LEN];
-    uint64_t ends_at; /* when upstreams are known up to it; 0: it goes on */
+    uint64_t ends_at; /* store revision that the upstreams must be synchronised
+                       * to; 0: the evacuation goes on */
 } evacuation_t;
 
 struct flowset {
@@ -162,18 +172,19 @@
     flow_conf_t *conf; /* NULL: none yet; routes sorted by address */
     index_t by_id, by_tag, by_addr, by_key, by_name;
     link_t upstreams, services, recent, suspects;
-    link_t opening, pending, slow; /* records: see record_t.waiting */
+    link_t opening, pending, slow; /* records, by record_t.waiting */
     uint32_t n_upstreams, n_records;
-    uint64_t self; /* among the warmers */
+    uint64_t self; /* this instance, among the warmers */
     uint32_t n_warmers;
     uint64_t warmer[WARMERS_MAX];
-    uint32_t n_evacuated; /* in EVACUATED */
+    uint32_t n_evacuated; /* entries of evacuated */
     evacuation_t evacuated[EVACUATIONS_MAX];
-    uint64_t upstreams_revision; /* revision up to which upstreams are known */
-    ms_t answered_probe_at; /* the latest start of a probe that was answered */
-    double probe_loss; /* moving average of the share of probes to upstreams
-                        * in no doubt that were not answered */
-    ms_t sweep_at;     /* when all records are looked through next */
+    uint64_t upstreams_revision; /* store revision that the upstreams are
+                                  * synchronised to */
+    ms_t answered_probe_at;      /* latest start of an answered probe */
+    double probe_loss; /* moving average of the loss of control probes, sent to
+                        * upstreams that are not suspect */
+    ms_t sweep_at;     /* next sweep over all records */
     flow_stats_t stats;
 };
 
@@ -183,96 +194,99 @@
 service_t *service_named(flowset_t *f, const char *name);
 upstream_t *upstream_by_id(const flowset_t *f, uint64_t id);
 upstream_t *upstream_by_tag(const flowset_t *f, uint32_t tag);
-/* Those at address A are in the bucket of this hash. */
+/* Hash of A; its upstreams are in that bucket of by_addr. */
 uint64_t addr_hash(const addr_t *a);
-/* A new upstream, not yet in its service's lists.  NULL without memory. */
+/* Creates an upstream that is not yet in its service's group.  Returns NULL if
+ * out of memory. */
 upstream_t *upstream_new(flowset_t *f, const flow_upstream_t *a);
-/* U has no records any more. */
+/* Frees U, which must have no records left. */
 void upstream_free(flowset_t *f, upstream_t *u);
-/* Puts U into its service's list, if it may be chosen at all. */
+/* Adds U to its service's group if it is eligible. */
 int upstream_offer(upstream_t *u);
 void upstream_withdraw(upstream_t *u);
-/* Evacuates U, or offers it again. */
+/* Withdraws U for an evacuation, or offers it again. */
 int upstream_evacuate(upstream_t *u, bool evacuated);
 
 /* ---- records.c ---- */
 
 record_t *record_find(const flowset_t *f, const addr_t *caller,
                       const addr_t *service);
-/* ROUTE may be NULL.  NULL without memory: the flow is served, and not
- * remembered. */
+/* ROUTE may be NULL.  Returns NULL if out of memory: the flow is still served,
+ * but not tracked. */
 record_t *record_new(flowset_t *f, ms_t now, const flow_packet_t *p,
                      upstream_t *u, const flow_route_t *route);
 void record_free(flowset_t *f, record_t *r);
-/* Moves it to another upstream. */
+/* Moves R to another upstream. */
 void record_move(record_t *r, upstream_t *u);
-/* Forgets what is older than the configuration's idle time. */
+/* Frees records older than the configured idle timeout. */
 void records_expire(flowset_t *f, ms_t now);
-/* A request of R begins, or is no longer waited for. */
+/* A request of R begins, or is no longer awaited. */
 void record_request_begin(flowset_t *f, record_t *r, ms_t now);
 void record_request_end(record_t *r);
-/* The answer to its request hasn't been seen within the goal. */
+/* No response to the request was seen within its goal. */
 void record_overdue(record_t *r);
-/* The first packet after the opening one; the caller's last. */
+/* The first packet after the opening one was seen; the caller closed the flow.
+ */
 void record_opened(record_t *r);
 void record_ended(record_t *r);
 
 /* ---- choice.c ---- */
 
-/* Which opening packets may be refused for load. */
+/* Which opening packets may be refused under load. */
 typedef enum {
     ADMIT_ALL,
-    ADMIT_IN_GOAL /* only those that can be answered within their goal */
+    ADMIT_IN_GOAL /* refuse those that would miss their goal */
 } admit_t;
 
 typedef struct {
     upstream_t *up;      /* NULL: none */
-    const group_t *full; /* the group whose limit refused it, or NULL */
-    const char *service; /* of that group */
-    bool evacuated;      /* there is none, but in evacuated data centres */
-    bool warm_up;        /* there is none, but some that warm up */
+    const group_t *full; /* group whose limit refused the flow, or NULL */
+    const char *service; /* service of FULL */
+    bool evacuated;      /* none eligible, except in evacuated data centres */
+    bool warm_up;        /* none eligible, except in slow start */
 } choice_t;
 
-/* The upstream for a new flow of route R.  EXCLUDE (may be NULL) is taken only
- * if there is no other. */
+/* Selects the upstream for a new flow of route R.  EXCLUDE (may be NULL) is
+ * used only if there is no other. */
 choice_t choose(flowset_t *f, ms_t now, const flow_route_t *r,
                 const upstream_t *exclude, admit_t admit);
 
-/* Brings the service's usual answer time up to date. */
+/* Updates the service's median response time. */
 void choice_sweep(service_t *s, ms_t now);
 
-/* ---- warmup.c: new flows at upstreams that warm up ---- */
+/* ---- warmup.c: new flows at upstreams in slow start ---- */
 
-/* May a new flow of this instance open at U now? */
+/* Returns true if this instance may open a new flow at U now. */
 bool warm_up_admits(const flowset_t *f, ms_t now, const upstream_t *u);
-/* A new flow of this instance goes to U. */
+/* Records that a new flow of this instance goes to U. */
 void warm_up_opened(const flowset_t *f, ms_t now, upstream_t *u);
 
 /* ---- reach.c ---- */
 
-/* A packet of a caller that came at AT proves that U answered. */
+/* A caller's packet received at AT proves that U responded. */
 void reach_alive(flowset_t *f, ms_t at, upstream_t *u);
-/* Packets to U since SINCE went unanswered. */
+/* Packets sent to U since SINCE were not answered. */
 void reach_suspect(flowset_t *f, ms_t now, upstream_t *u, ms_t since,
                    const char *why);
-/* U has ended for sure. */
+/* U is known to have ended. */
 void reach_dead(flowset_t *f, ms_t now, upstream_t *u, const char *why);
-/* A probe of U, whatever callers' packets say. */
+/* Probes U regardless of recent packets from callers. */
 void reach_request_probe(flowset_t *f, ms_t now, upstream_t *u,
                          const char *why);
-/* U is announced (again). */
+/* U is announced for the first time or again. */
 void reach_announced(flowset_t *f, ms_t now, upstream_t *u);
 void reach_probed(flowset_t *f, ms_t now, upstream_t *u, flow_probe_t result);
-/* Starts the probes that are due; returns when the next one is. */
+/* Starts the probes that are due; returns the time of the next one. */
 ms_t reach_tick(flowset_t *f, ms_t now);
 
-/* ---- waits.c ---- */
+/* ---- timeouts.c ---- */
 
-/* Openings and requests that go unanswered for unusually long: doubts are
- * raised, and what is overdue no longer counts as in progress.  Returns when
- * the next would be. */
+/* Handles openings and requests that have been unanswered for too long: their
+ * upstreams become suspect, and overdue requests no longer count as in flight.
+ * Returns the time of the next timeout. */
 ms_t timeouts_check(flowset_t *f, ms_t now);
-/* Requests whose answer won't be seen here no longer count as in progress. */
+/* Requests whose response can no longer be seen here stop counting as in
+ * flight. */
 void timeouts_sweep(flowset_t *f, ms_t now);
 
 #endif
--- a/flow/timeouts.c
+++ b/flow/timeouts.c
@@ -1,19 +1,21 @@
-/* What is waited for: answers to opening packets and to requests. */
+/* Timeouts of opening packets and requests. */
 #include "flow/state.h"
 
 /* Timeout of an opening packet, until the caller's next packet. */
 #define OPENING_TIMEOUT_MS 80
-/* Age at which an unanswered request no longer counts as in progress: it was
- * given up, or its flow goes on through another instance. */
+/* Age at which an unanswered request no longer counts as in flight: the caller
+ * gave up, or the flow continues through another instance. */
 #define REQUEST_MAX_AGE_MS 3000
-/* An idempotent request makes its upstream suspect after this multiple of the
- * service's average latency, within these bounds: well before its caller
- * retransmits.  Later answers to others refute it. */
+/* An unanswered idempotent request makes its upstream suspect after this
+ * multiple of the service's median response time, within these bounds: well
+ * before its caller retransmits.  Later responses to other callers refute the
+ * suspicion. */
 #define REQUEST_TIMEOUT_FACTOR 4
 #define REQUEST_TIMEOUT_MIN_MS 60
 #define REQUEST_TIMEOUT_MAX_MS 200
 
-/* Opening packets that went unanswered; returns when the next would be. */
+/* Handles opening packets that timed out; returns the time of the next
+ * timeout. */
 static ms_t
 check_opening(flowset_t *f, ms_t now)
 {
@@ -40,9 +42,9 @@
                                                   : ms;
 }
 
-/* Requests that wait unusually long; returns when the next one would.  They
- * are in the order of their beginning, and services differ by little: one that
- * stands behind another of a slower service is found a little late. */
+/* Handles requests that timed out; returns the time of the next timeout. The
+ * list is in order of start, and services differ little: a request behind one
+ * of a slower service is found slightly late. */
 static ms_t
 check_requests(flowset_t *f, ms_t now)
 {
@@ -56,7 +58,7 @@
         if (r->goal_ms > 0) {
             list_append(&f->slow, it);
         }
-        if (r->idempotent) { /* an upload is answered when it has ended */
+        if (r->idempotent) { /* an upload is answered only when it ends */
             reach_suspect(f, now, r->up, r->request_at,
                           "a request is not answered");
         }
@@ -64,11 +66,11 @@
     return MS_NEVER;
 }
 
-/* An answer may go unseen: one of a single packet is acknowledged with the
- * caller's next request, or never.  Under overload, servers refuse many that
- * way; counted as in progress they would keep out new ones while slots are
- * free.  Goals differ: one that stands behind a longer is found a little late.
- */
+/* Stops counting overdue requests as in flight.  A response may go unseen: one
+ * of a single packet is acknowledged with the caller's next request, or never.
+ * Overloaded servers refuse many requests that way; counted as in flight,
+ * these would block new requests while slots are free.  Goals differ: a
+ * request behind one with a longer goal is found slightly late. */
 static void
 check_overdue(flowset_t *f, ms_t now)
 {
--- a/flow/warmup.c
+++ b/flow/warmup.c
@@ -1,25 +1,26 @@
-/* New flows at upstreams that warm up.
+/* Limits new flows at upstreams in slow start.
  *
- * Load: an upstream has just started, or its data centre's evacuation ends,
- * and hundreds of instances find it idle at once.  What it bears is a rate for
- * all of them together, and none knows what the others send, nor how many
- * there are.  So only the few instances that all of the data centre know, its
- * announced ones, open flows there, each an equal share; the others use
- * upstreams that are warm.  The sum holds also where instances are cut off
- * from each other: a share is never taken over.
- */
+ * When an upstream has just started, or its data centre's evacuation ends,
+ * hundreds of instances find it idle at once.  Its slow-start rate applies to
+ * all of them together, but no instance knows how many others there are or
+ * what they send.  Only a few instances, those announced in the data centre
+ * and known to all instances there, open flows at the upstream, each an equal
+ * share; the others use warm upstreams.  The sum stays within the bound also
+ * when instances are partitioned, because a share is never taken over by
+ * another instance. */
 #include "flow/state.h"
 
-/* Openings that leave within a second may arrive within less. */
+/* Period of a share: opening packets sent within a second may arrive within
+ * less. */
 #define WINDOW_MS 1100
-/* Share of the bound that is used.  Instances hear of an announcement one
- * after the other: for a moment their lists differ, and the shares don't add
- * up. */
+/* Share of the bound that is used.  An announcement reaches instances one
+ * after the other: for a moment their lists differ, and the shares may add up
+ * to more. */
 #define SAFETY_FACTOR 0.8
-/* Shares are taken of so many at least, for the same reason. */
+/* Minimum number of shares, for the same reason. */
 #define WARM_UP_SHARES_MIN 4
 
-/* New flows a second that U may get from all instances; 0: not bounded. */
+/* New flows a second that U may get from all instances; 0: unlimited. */
 static double
 max_rate(const flowset_t *f, const upstream_t *u)
 {
@@ -29,8 +30,8 @@
                      : 0;
 }
 
-/* How many of the warmers come before this instance at U, by rendezvous
- * hashing; their number when it is none of them. */
+/* Rank of this instance among the warmers at U by rendezvous hashing; the
+ * number of warmers if it is not one of them. */
 static uint32_t
 rank_of_self(const flowset_t *f, const upstream_t *u)
 {
@@ -45,8 +46,8 @@
     return listed ? rank : f->n_warmers;
 }
 
-/* Between two new flows of this instance at U, while it warms up; 0: not
- * bounded; MS_NEVER: it opens none there. */
+/* Interval between new flows of this instance at U during slow start; 0:
+ * unlimited; MS_NEVER: none allowed. */
 static ms_t
 spacing_of(const flowset_t *f, const upstream_t *u)
 {
