--- a/test/flow_bed.h
+++ b/test/flow_bed.h
@@ -28,7 +28,7 @@
         spec.data_centre = data_centre;
         spec.seed = 7;
         spec.records_max = records;
-        spec.emit = take;
+        spec.emit = on_emit;
         spec.arg = this;
         spec.flow_ttl_ms = 60000;
         spec.warm_up_over = 1.5;
@@ -43,7 +43,7 @@
     FlowBed &operator=(const FlowBed &) = delete;
 
     static void
-    take(void *arg, const flow_out_t *out)
+    on_emit(void *arg, const flow_out_t *out)
     {
         FlowBed *b = static_cast<FlowBed *>(arg);
         switch (out->kind) {
--- a/test/flow_load_test.cc
+++ b/test/flow_load_test.cc
@@ -18,21 +18,22 @@
 struct Upstream {
     flow_upstream_t a;
     double work_ms;
-    bool deaf = false;   /* takes no opening packet, though it lives */
-    bool sheds = false;  /* refuses each request at once */
-    bool mute = false;   /* refuses so that no instance sees it */
-    bool resets = false; /* the same with an opening packet */
+    bool ignores_openings =
+        false;                   /* takes no opening packet, though it lives */
+    bool rejects = false;        /* refuses each request at once */
+    bool rejects_unseen = false; /* refuses so that no instance sees it */
+    bool resets_openings = false; /* the same with an opening packet */
     int running = 0;
     std::queue<int> waiting; /* requests */
     int taken = 0;
 };
 
-enum class What { OPEN, OPENED, COPY, ARRIVED, DONE, TICK };
+enum class EventKind { OPEN, OPENED, COPY, ARRIVED, DONE, TICK };
 
 struct Event {
     ms_t at;
     uint64_t order;
-    What what;
+    EventKind kind;
     int request;
     bool
     operator<(const Event &o) const
@@ -52,8 +53,8 @@
 };
 
 /* A caller that is refused comes back twice, after some 10 ms. */
-const int TRIES = 3;
-const ms_t COME_BACK_MS = 10;
+const int MAX_TRIES = 3;
+const ms_t RETRY_DELAY_MS = 10;
 
 /* How upstreams are chosen. */
 enum class Policy { FLOWS, RANDOM };
@@ -93,9 +94,9 @@
     }
 
     void
-    at(ms_t when, What what, int request)
+    at(ms_t when, EventKind kind, int request)
     {
-        events.push({when, order++, what, request});
+        events.push({when, order++, kind, request});
     }
 
     /* Requests, each on a flow of its own, at so many a second. */
@@ -106,7 +107,7 @@
             requests.push_back(
                 {(int)rng_below(&rng, (uint32_t)instances.size()), (ms_t)t});
             requests.back().route = route;
-            at((ms_t)t, What::OPEN, (int)requests.size() - 1);
+            at((ms_t)t, EventKind::OPEN, (int)requests.size() - 1);
             t += -std::log(1 - rng_below(&rng, 1000000) / 1e6) * 1000 / per_s;
         }
     }
@@ -132,10 +133,10 @@
     {
         Request &r = requests[i];
         flow_decision_t d = bed(i).packet(FlowBed::syn(1 + i, r.route, copy));
-        if (d.verb == FLOW_RESET && r.tries < TRIES) {
+        if (d.verb == FLOW_RESET && r.tries < MAX_TRIES) {
             r.tries++;
             r.instance = (int)rng_below(&rng, (uint32_t)instances.size());
-            at(now + COME_BACK_MS, What::OPEN, i);
+            at(now + RETRY_DELAY_MS, EventKind::OPEN, i);
         }
         if (d.verb != FLOW_FORWARD) {
             return;
@@ -145,13 +146,14 @@
         if (copy == 0) {
             up[requests[i].upstream].taken++;
         }
-        if (up[requests[i].upstream].resets) {
+        if (up[requests[i].upstream].resets_openings) {
             requests[i].refused = true;
             return;
         }
-        at(now + 8, What::OPENED, i);
+        at(now + 8, EventKind::OPENED, i);
         if (copy < 2) {
-            at(requests[i].began + (copy == 0 ? 200 : 600), What::COPY, i);
+            at(requests[i].began + (copy == 0 ? 200 : 600), EventKind::COPY,
+               i);
         }
     }
 
@@ -166,7 +168,7 @@
     {
         while (u.running < (int)u.a.slots && !u.waiting.empty()) {
             u.running++;
-            at(now + 1 + (ms_t)work(u), What::DONE, u.waiting.front());
+            at(now + 1 + (ms_t)work(u), EventKind::DONE, u.waiting.front());
             u.waiting.pop();
         }
     }
@@ -176,37 +178,37 @@
     {
         Request &r = requests[e.request < 0 ? 0 : e.request];
         uint32_t tag = (uint32_t)r.upstream;
-        switch (e.what) {
-        case What::OPEN:
+        switch (e.kind) {
+        case EventKind::OPEN:
             send_opening(e.request, 0);
             break;
-        case What::COPY:
-            if (r.done < 0 && up[r.upstream].deaf) {
+        case EventKind::COPY:
+            if (r.done < 0 && up[r.upstream].ignores_openings) {
                 send_opening(e.request, now - r.began > 300 ? 2 : 1);
             }
             break;
-        case What::OPENED:
-            if (!up[r.upstream].deaf) {
+        case EventKind::OPENED:
+            if (!up[r.upstream].ignores_openings) {
                 bed(e.request).packet(
                     FlowBed::data(1 + e.request, r.route, tag, 1001, 100, 1));
-                at(now + 1, What::ARRIVED, e.request);
+                at(now + 1, EventKind::ARRIVED, e.request);
             }
             break;
-        case What::ARRIVED:
-            if (up[r.upstream].mute) {
+        case EventKind::ARRIVED:
+            if (up[r.upstream].rejects_unseen) {
                 r.refused = true;
                 break;
             }
-            if (up[r.upstream].sheds) {
+            if (up[r.upstream].rejects) {
                 r.refused = true;
-                at(now + 1, What::DONE, e.request);
+                at(now + 1, EventKind::DONE, e.request);
                 up[r.upstream].running++;
                 break;
             }
             up[r.upstream].waiting.push(e.request);
             start(up[r.upstream]);
             break;
-        case What::DONE: {
+        case EventKind::DONE: {
             flow_packet_t p =
                 FlowBed::data(1 + e.request, r.route, tag, 1101, 0, 400);
             up[r.upstream].running--;
@@ -217,13 +219,13 @@
             bed(e.request).packet(p);
             break;
         }
-        case What::TICK:
+        case EventKind::TICK:
             for (auto &i : instances) {
                 i->now = now;
                 i->tick();
-                std::vector<flow_out_t> asked;
-                asked.swap(i->probes);
-                for (const flow_out_t &q : asked) {
+                std::vector<flow_out_t> pending;
+                pending.swap(i->probes);
+                for (const flow_out_t &q : pending) {
                     i->probed(q.upstream, PROBE_ANSWERED);
                 }
             }
@@ -231,15 +233,16 @@
         }
     }
 
-    /* Goes on until UNTIL and, if so asked, until the last request has ended.
+    /* Goes on until UNTIL and, if so pending, until the last request has
+     * ended.
      */
     void
-    run(ms_t until, bool to_the_end = true)
+    run(ms_t until, bool until_idle = true)
     {
         for (ms_t t = now; t < until; t += 10) {
-            at(t, What::TICK, -1);
+            at(t, EventKind::TICK, -1);
         }
-        while (!events.empty() && (to_the_end || events.top().at < until)) {
+        while (!events.empty() && (until_idle || events.top().at < until)) {
             Event e = events.top();
             events.pop();
             now = e.at;
@@ -400,7 +403,7 @@
     for (uint64_t id = 1; id <= 5; id++) {
         l.add(id, "dc-a", 20);
     }
-    l.up[1].deaf = true;
+    l.up[1].ignores_openings = true;
     l.offer(0, 6000, 100);
     l.run(7000);
     EXPECT_LT(l.share(1), 0.06);
@@ -416,7 +419,7 @@
     for (uint64_t id = 1; id <= 5; id++) {
         l.add(id, "dc-a", 40);
     }
-    l.up[1].sheds = true;
+    l.up[1].rejects = true;
     l.offer(0, 6000, 60);
     l.run(7000);
     EXPECT_LT(l.share(1), 0.35); /* a fair share is 0.20 */
@@ -459,7 +462,7 @@
 const uint64_t SEEDS[] = {42, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
 
 void
-ten_upstreams(Load &l, double work_ms = 40)
+add_ten_upstreams(Load &l, double work_ms = 40)
 {
     for (uint64_t id = 1; id <= 10; id++) {
         l.add(id, "dc-a", work_ms);
@@ -493,7 +496,7 @@
     for (uint64_t seed : SEEDS) {
         for (int n_instances : {2, 8}) {
             Overload l(seed, GOAL_MS, n_instances);
-            ten_upstreams(l);
+            add_ten_upstreams(l);
             l.calm();
             l.offer(3000, 11000, 2 * CAPACITY);
             l.run(15000);
@@ -515,7 +518,7 @@
 {
     Overload l(42, 0);
 
-    ten_upstreams(l);
+    add_ten_upstreams(l);
     l.calm();
     l.offer(3000, 11000, 2 * CAPACITY);
     l.run(15000);
@@ -528,7 +531,7 @@
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.offer(0, 8000, 2 * CAPACITY);
         l.run(10000);
         EXPECT_GE(l.in_time(2000, 8000, GOAL_MS), 0.85 * CAPACITY)
@@ -547,7 +550,7 @@
                 continue;
             }
             Overload l(seed);
-            ten_upstreams(l);
+            add_ten_upstreams(l);
             l.offer(0, 20000, load * CAPACITY);
             l.run(22000);
             EXPECT_EQ(l.refusals(), 0u) << "seed " << seed << " at " << load;
@@ -561,7 +564,7 @@
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed, 60);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.offer(0, 20000, 0.5 * CAPACITY);
         l.run(22000);
         EXPECT_EQ(l.refusals(), 0u) << "seed " << seed;
@@ -593,16 +596,16 @@
             double work_ms = c.first;
             Overload l(seed, GOAL_MS, c.second);
             double capacity = CAPACITY * 40 / work_ms;
-            uint64_t then;
-            ten_upstreams(l, work_ms);
+            uint64_t refused_before;
+            add_ten_upstreams(l, work_ms);
             l.calm(capacity);
             l.offer(3000, 6000, 2 * capacity);
             l.run(7000);
-            then = l.refusals();
-            EXPECT_GT(then, 0u);
+            refused_before = l.refusals();
+            EXPECT_GT(refused_before, 0u);
             l.offer(7000, 27000, 0.6 * capacity);
             l.run(28000);
-            EXPECT_EQ(l.refusals(), then)
+            EXPECT_EQ(l.refusals(), refused_before)
                 << "seed " << seed << " work " << work_ms;
             for (const auto &i : l.instances) { /* told for the log */
                 ASSERT_GE(i->limits.size(), 2u);
@@ -618,11 +621,11 @@
 /* From 3,000 ms on FAULT holds for three of ten upstreams, and callers ask for
  * twice what ten can run: the seven others must be used. */
 void
-seven_are_used(bool Upstream::*fault)
+expect_healthy_used(bool Upstream::*fault)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.calm();
         l.run(3000);
         for (uint64_t id = 1; id <= 3; id++) {
@@ -644,14 +647,14 @@
  */
 TEST(Overload, OpeningsThatAreResetTakeNoPlace)
 {
-    seven_are_used(&Upstream::resets);
+    expect_healthy_used(&Upstream::resets_openings);
 }
 
 /* Three of ten upstreams refuse what comes by short answers that their callers
  * never acknowledge.  The same, with requests in place of openings. */
 TEST(Overload, RefusalsThatNobodySeesTakeNoPlace)
 {
-    seven_are_used(&Upstream::mute);
+    expect_healthy_used(&Upstream::rejects_unseen);
 }
 
 /* A copy of an opening packet comes to an instance whose limit is reached. The
@@ -663,7 +666,7 @@
     FlowBed *full;
     int caller = 60000;
 
-    ten_upstreams(l);
+    add_ten_upstreams(l);
     l.calm();
     l.offer(3000, 5000, 2 * CAPACITY);
     l.run(5000, false);
@@ -681,7 +684,7 @@
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         for (uint64_t id = 11; id <= 20; id++) {
             l.add(id, "dc-b", 40);
         }
@@ -698,7 +701,7 @@
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.calm();
         l.offer(3000, 11000, 1.6 * CAPACITY);
         l.offer(3000, 11000, 0.4 * CAPACITY, URGENT);
--- a/test/flow_test.cc
+++ b/test/flow_test.cc
@@ -25,7 +25,7 @@
 
     /* A caller of U sends again what went unanswered: a probe starts. */
     void
-    doubt(int caller, uint32_t tag)
+    raise_suspicion(int caller, uint32_t tag)
     {
         bed.now += 500;
         bed.packet(FlowBed::data(caller, FEED, tag, 1001, 100));
@@ -34,13 +34,13 @@
     }
 
     void
-    one_answer_beside(flow_probe_t second, flow_probe_t third)
+    probe_with_controls(flow_probe_t second, flow_probe_t third)
     {
-        doubt((int)open_at(0x11, 1), 0x11);
+        raise_suspicion((int)open_at(0x11, 1), 0x11);
         bed.probed(0x11, PROBE_SILENT);
-        for (flow_probe_t beside : {second, third}) {
+        for (flow_probe_t control : {second, third}) {
             bed.now += 100;
-            bed.probed(0x12, beside);
+            bed.probed(0x12, control);
             bed.probed(0x11, PROBE_SILENT);
         }
         EXPECT_TRUE(bed.resets.empty());
@@ -122,12 +122,13 @@
  * flows: packets of the second's would reach the first and be reset. */
 TEST_F(Flow, AnUpstreamWithATakenTagGetsNoFlow)
 {
-    flow_upstream_t twin = FlowBed::upstream(0x1200000011, "svc", "dc-a");
+    flow_upstream_t duplicate = FlowBed::upstream(0x1200000011, "svc", "dc-a");
 
-    twin.addr = address("10.0.9.9:80");
-    bed.announce(twin);
+    duplicate.addr = address("10.0.9.9:80");
+    bed.announce(duplicate);
     for (int caller = 1; caller < 200; caller++) {
-        EXPECT_NE(bed.packet(FlowBed::syn(caller, FEED)).upstream, twin.id);
+        EXPECT_NE(bed.packet(FlowBed::syn(caller, FEED)).upstream,
+                  duplicate.id);
     }
     EXPECT_EQ(bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).upstream,
               0x11u);
@@ -275,7 +276,7 @@
     uint32_t caller = open_at(0x11, 1);
 
     bed.resets.clear();
-    doubt((int)caller, 0x11);
+    raise_suspicion((int)caller, 0x11);
     ASSERT_FALSE(bed.probes.empty());
     for (int i = 0; i < 10; i++) {
         bed.probes.clear();
@@ -296,7 +297,7 @@
     uint32_t caller = open_at(0x11, 1);
 
     bed.resets.clear();
-    doubt((int)caller, 0x11);
+    raise_suspicion((int)caller, 0x11);
     bed.probed(0x11, PROBE_RESET);
     bed.probes.clear();
     bed.advance(60);
@@ -328,16 +329,16 @@
  * not be reset, whatever the order. */
 TEST(FlowAddress, OfTwoAtOneAddressTheLaterAnnouncedHoldsIt)
 {
-    for (bool former_first : {true, false}) {
+    for (bool previous_first : {true, false}) {
         FlowBed bed;
-        flow_upstream_t former = FlowBed::upstream(0x41, "archive", "dc-a");
+        flow_upstream_t previous = FlowBed::upstream(0x41, "archive", "dc-a");
         flow_upstream_t next = FlowBed::upstream(0x42, "svc", "dc-a");
         bed.routes(1, {{FEED, "svc", true}});
-        next.addr = former.addr;
-        former.revision = 10;
+        next.addr = previous.addr;
+        previous.revision = 10;
         next.revision = 20;
-        bed.announce(former_first ? former : next);
-        bed.announce(former_first ? next : former);
+        bed.announce(previous_first ? previous : next);
+        bed.announce(previous_first ? next : previous);
         EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).upstream, 0x42u);
         EXPECT_EQ(bed.packet(FlowBed::data(2, FEED, 0x42, 1, 1)).verb,
                   FLOW_FORWARD);
@@ -368,7 +369,7 @@
 {
     uint32_t caller = open_at(0x11, 1);
 
-    doubt((int)caller, 0x11);
+    raise_suspicion((int)caller, 0x11);
     ASSERT_EQ(bed.probes.size(), 1u);
     bed.probed(0x11, PROBE_ANSWERED);
     EXPECT_TRUE(bed.resets.empty());
@@ -415,7 +416,7 @@
     int a = (int)open_at(0x11, 1);
     size_t n = bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).open;
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     bed.probed(0x11, PROBE_REFUSED);
     EXPECT_EQ(bed.resets.size(), n + 1);
     for (int caller = 200; caller < 250; caller++) {
@@ -491,13 +492,13 @@
  * caller is told at the packet that is neither. */
 TEST_F(Flow, ALateOpeningThatNobodyTakesIsDropped)
 {
-    static const char NOWHERE[] = "198.18.0.9:9";
-    flow_packet_t late = FlowBed::syn(1, NOWHERE);
+    static const char NO_ROUTE[] = "198.18.0.9:9";
+    flow_packet_t late = FlowBed::syn(1, NO_ROUTE);
 
     late.age_ms = 150;
     EXPECT_EQ(bed.packet(late).verb, FLOW_DROP);
-    EXPECT_EQ(bed.packet(FlowBed::syn(2, NOWHERE, 1)).verb, FLOW_DROP);
-    EXPECT_EQ(bed.packet(FlowBed::syn(3, NOWHERE)).verb, FLOW_RESET);
+    EXPECT_EQ(bed.packet(FlowBed::syn(2, NO_ROUTE, 1)).verb, FLOW_DROP);
+    EXPECT_EQ(bed.packet(FlowBed::syn(3, NO_ROUTE)).verb, FLOW_RESET);
     for (uint64_t id : {0x11, 0x12, 0x21}) {
         flowset_remove_upstream(bed.flows, bed.now, id);
         bed.probed(id, PROBE_REFUSED);
@@ -516,7 +517,7 @@
     uint32_t caller = open_at(0x11, 1);
     flow_packet_t p = FlowBed::data((int)caller, FEED, 0x11, 1101, 0, 6000);
 
-    doubt((int)caller, 0x11);
+    raise_suspicion((int)caller, 0x11);
     ASSERT_EQ(bed.probes.size(), 1u);
     bed.reaches.clear();
     p.age_ms = 300;
@@ -578,7 +579,7 @@
     fin.ends = true;
     bed.packet(fin);
     bed.resets.clear();
-    doubt(900, 0x11);
+    raise_suspicion(900, 0x11);
     bed.probed(0x11, PROBE_REFUSED);
     for (const flow_out_t &r : bed.resets) {
         EXPECT_NE(r.reset.caller.port, a);
@@ -593,7 +594,7 @@
     int a = (int)open_at(0x11, 1);
 
     bed.packet(FlowBed::data(901, COMMAND, 0x11, 1, 10));
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     bed.now += 200;
     bed.probed(0x11, PROBE_SILENT);
     /* One may have been lost; another upstream is asked beside it. */
@@ -629,12 +630,12 @@
 {
     int a = (int)open_at(0x11, 1);
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     for (int i = 0; i < 40; i++) {
-        std::vector<flow_out_t> asked = bed.probes;
+        std::vector<flow_out_t> pending = bed.probes;
         bed.probes.clear();
         bed.now += 100;
-        for (const flow_out_t &p : asked) {
+        for (const flow_out_t &p : pending) {
             bed.probed(p.upstream, PROBE_SILENT);
         }
         bed.advance(300);
@@ -652,12 +653,12 @@
  * answer beside a silent probe is then no proof: it takes both. */
 TEST_F(Flow, OneAnswerBesideASilentProbeProvesNothing)
 {
-    one_answer_beside(PROBE_ANSWERED, PROBE_SILENT);
+    probe_with_controls(PROBE_ANSWERED, PROBE_SILENT);
 }
 
 TEST_F(Flow, NorDoesTheSecondAnswerAlone)
 {
-    one_answer_beside(PROBE_SILENT, PROBE_ANSWERED);
+    probe_with_controls(PROBE_SILENT, PROBE_ANSWERED);
 }
 
 /* A burst of uploads fills a small instance's link for a minute: a third of
@@ -686,10 +687,10 @@
             bed.now += wait;
         }
         for (int i = 0; i < 6; i++) {
-            std::vector<flow_out_t> asked;
-            asked.swap(bed.probes);
+            std::vector<flow_out_t> pending;
+            pending.swap(bed.probes);
             bed.now += 100;
-            for (const flow_out_t &p : asked) {
+            for (const flow_out_t &p : pending) {
                 bed.probed(p.upstream, rng_below(&rng, 3) == 0
                                            ? PROBE_SILENT
                                            : PROBE_ANSWERED);
@@ -709,7 +710,7 @@
     int a = (int)open_at(0x11, 1);
     size_t before;
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     for (int i = 0; i < 3; i++) {
         bed.now += 100;
         bed.probed(0x12, PROBE_ANSWERED);
@@ -728,7 +729,7 @@
 {
     int a = (int)open_at(0x11, 1);
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     bed.probed(0x11, PROBE_REFUSED);
     bed.probes.clear();
     bed.announce(FlowBed::upstream(0x11, "svc", "dc-a"));
@@ -744,7 +745,7 @@
     int a = (int)open_at(0x11, 1);
     size_t n;
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     for (int i = 0; i < 20000; i += 50) {
         if (i % 200 == 0) {
             bed.probed(0x12, PROBE_ANSWERED);
@@ -810,7 +811,7 @@
 {
     int a = (int)open_at(0x11, 1);
 
-    doubt(a, 0x11);
+    raise_suspicion(a, 0x11);
     bed.probed(0x11, PROBE_NONE);
     bed.advance(500);
     EXPECT_EQ(bed.probes.size(), 2u);
--- a/test/pacer_test.cc
+++ b/test/pacer_test.cc
@@ -176,7 +176,7 @@
 
 /* The instance's link: a queue of 50 ms, from which packets leave at RATE. */
 struct Link {
-    const double most = RATE * 0.05;
+    const double queue_max = RATE * 0.05;
     double backlog = 0;
     ms_t at = 0;
     int lost = 0;
@@ -188,7 +188,7 @@
         backlog -= (double)(now - at) * RATE / 1000;
         backlog = backlog < 0 ? 0 : backlog;
         at = now;
-        if (backlog + bytes > most) {
+        if (backlog + bytes > queue_max) {
             lost++;
             return -1;
         }
@@ -214,22 +214,22 @@
 const ms_t WAIT_MAX = 1600;
 const ms_t ACK_MS = 6;
 
-struct Bed {
+struct LinkBed {
     Pacer pacer;
     Link link;
     ms_t now = 0;
     std::vector<Upload> uploads;
-    std::map<int, ms_t> short_began; /* by id */
+    std::map<int, ms_t> short_started; /* by id */
     ms_t short_worst = 0;
     int short_lost = 0, shorts = 0, control_lost = 0;
     int retransmitted = 0, evicted = 0, uploaded = 0;
 
-    explicit Bed(uint64_t rate) : pacer(rate)
+    explicit LinkBed(uint64_t rate) : pacer(rate)
     {
     }
 
     void
-    leave(int flow, int seq)
+    transmit(int flow, int seq)
     {
         ms_t at = link.send(now, PACKET);
         uploaded++;
@@ -241,14 +241,14 @@
     }
 
     void
-    leave_short(int id)
+    transmit_short(int id)
     {
         ms_t at = link.send(now, 968);
         if (at < 0) {
             short_lost++;
         }
-        else if (at - short_began[id] > short_worst) {
-            short_worst = at - short_began[id];
+        else if (at - short_started[id] > short_worst) {
+            short_worst = at - short_started[id];
         }
     }
 
@@ -258,15 +258,15 @@
     {
         flow_packet_t in = Pacer::packet(u.flow, (uint32_t)seq * DATA);
         if (pacer_admit(pacer.p, now, PACKET)) {
-            leave(u.flow, seq);
+            transmit(u.flow, seq);
         }
         else if (pacer_find(pacer.p, &in) == nullptr) {
-            wait(u.flow * 1000 + seq, in, PACKET);
+            enqueue(u.flow * 1000 + seq, in, PACKET);
         }
     }
 
     void
-    wait(int id, const flow_packet_t &in, uint32_t bytes)
+    enqueue(int id, const flow_packet_t &in, uint32_t bytes)
     {
         if (pacer_waiting(pacer.p) == PACER_MAX) {
             evicted++;
@@ -280,12 +280,12 @@
     {
         int flow = 500000 + shorts++;
         flow_packet_t in = Pacer::packet(flow % 60000, 1, 900);
-        short_began[flow] = now;
+        short_started[flow] = now;
         if (pacer_admit(pacer.p, now, 968)) {
-            leave_short(flow);
+            transmit_short(flow);
         }
         else {
-            wait(flow, in, 968);
+            enqueue(flow, in, 968);
         }
     }
 
@@ -350,10 +350,10 @@
         for (paced_t *w; (w = pacer_pop(pacer.p, now)) != nullptr;) {
             int id = Pacer::id_of(w);
             if (id >= 500000) {
-                leave_short(id);
+                transmit_short(id);
             }
             else {
-                leave(id / 1000, id % 1000);
+                transmit(id / 1000, id % 1000);
             }
         }
         now++;
@@ -404,10 +404,10 @@
  * and control traffic lost with it. */
 TEST(FullLink, UploadsAreInGoalAndControlIsNotLost)
 {
-    Bed paced(RATE), plain(0);
+    LinkBed paced(RATE), unpaced(0);
 
     paced.run(20, 500, LENGTH); /* 64 % of the link */
-    plain.run(20, 500, LENGTH);
+    unpaced.run(20, 500, LENGTH);
 
     EXPECT_EQ(paced.in_goal(GOAL), 20);
     EXPECT_EQ(paced.link.lost, 0);
@@ -415,8 +415,8 @@
     EXPECT_EQ(paced.short_lost, 0);
     EXPECT_LE(paced.short_worst, SHORT_GOAL / 4);
     /* The load shows the fault where packets are not paced. */
-    EXPECT_LT(plain.in_goal(GOAL), 20);
-    EXPECT_GT(plain.control_lost, 0);
+    EXPECT_LT(unpaced.in_goal(GOAL), 20);
+    EXPECT_GT(unpaced.control_lost, 0);
 }
 
 /* Guards against: more uploads at a time than get an acknowledgement within a
@@ -424,7 +424,7 @@
 TEST(FullLink, CopiesOfWhatWaitsAreNotForwarded)
 {
     const int N = 45, PACKETS = 5; /* a turn takes 228 ms */
-    Bed paced(RATE);
+    LinkBed paced(RATE);
 
     paced.run(N, 0, LENGTH, PACKETS);
 
@@ -439,7 +439,7 @@
  * the link carries. */
 TEST(FullLink, MoreThanTheLinkCarriesStillServesShortRequests)
 {
-    Bed paced(RATE);
+    LinkBed paced(RATE);
 
     paced.run(60, 200, LENGTH); /* 1.6 times the link */
 
--- a/test/warmup_test.cc
+++ b/test/warmup_test.cc
@@ -18,8 +18,8 @@
  * upstreams that warm up. */
 struct Fleet {
     std::vector<std::unique_ptr<FlowBed>> bed;
-    std::map<uint64_t, std::deque<ms_t>> taken;
-    uint32_t refused = 0, most = 0;
+    std::map<uint64_t, std::deque<ms_t>> opened_at;
+    uint32_t refused = 0, max_per_s = 0;
 
     Fleet(int instances, int announced, double per_s)
     {
@@ -60,21 +60,22 @@
             for (size_t i = 0; i < bed.size(); i++) {
                 bed[i]->now = 1000 + at;
                 for (; due[i] <= (double)at; due[i] += 1000 / each_per_s) {
-                    take(bed[i]->packet(FlowBed::syn(caller++ % 60000, ROUTE)),
-                         at);
+                    on_decision(
+                        bed[i]->packet(FlowBed::syn(caller++ % 60000, ROUTE)),
+                        at);
                 }
             }
         }
     }
 
     void
-    take(const flow_decision_t &d, ms_t at)
+    on_decision(const flow_decision_t &d, ms_t at)
     {
         if (d.verb != FLOW_FORWARD) {
             refused++;
             return;
         }
-        auto &t = taken[d.upstream];
+        auto &t = opened_at[d.upstream];
         t.push_back(at);
         if (d.upstream != COLD) {
             return;
@@ -83,7 +84,7 @@
         for (auto it = t.rbegin(); it != t.rend() && at - *it < 1000; ++it) {
             n++;
         }
-        most = n > most ? n : most;
+        max_per_s = n > max_per_s ? n : max_per_s;
     }
 };
 
@@ -99,14 +100,14 @@
             f.announce(COLD, "dc-a", WARM_UP_MS);
             f.announce(WARM, "dc-a", 0);
             f.open(WARM_UP_MS, 20);
-            EXPECT_LE(f.most, per_s * OVER + SLACK) << instances;
-            EXPECT_GE(f.taken[COLD].size(), 1u) << instances;
+            EXPECT_LE(f.max_per_s, per_s * OVER + SLACK) << instances;
+            EXPECT_GE(f.opened_at[COLD].size(), 1u) << instances;
             EXPECT_EQ(f.refused, 0u);
         }
     }
 }
 
-/* Guards against: a share that is taken over by others when instances lose
+/* Guards against: a share that is opened_at over by others when instances lose
  * each other, or a list of them that differs for a moment. */
 TEST(WarmUp, TheSumHoldsWhenInstancesKnowOnlyThemselves)
 {
@@ -119,7 +120,7 @@
     f.announce(COLD, "dc-a", WARM_UP_MS);
     f.announce(WARM, "dc-a", 0);
     f.open(WARM_UP_MS, 20);
-    EXPECT_LE(f.most, 6 * OVER + SLACK);
+    EXPECT_LE(f.max_per_s, 6 * OVER + SLACK);
 }
 
 /* Guards against: callers that wait where the only upstreams have their share
@@ -162,9 +163,9 @@
     f.announce(COLD, "dc-b", WARM_UP_MS);
     f.announce(FAR, "dc-b", 0);
     f.open(WARM_UP_MS, 20);
-    EXPECT_EQ(f.taken[COLD].size(), 0u);
+    EXPECT_EQ(f.opened_at[COLD].size(), 0u);
     f.open(WARM_UP_MS + 1000, 20);
-    EXPECT_GT(f.taken[COLD].size(), 0u);
+    EXPECT_GT(f.opened_at[COLD].size(), 0u);
 }
 
 /* Guards against: a reason that sends the operator the wrong way. */
@@ -190,5 +191,5 @@
     f.announce(COLD, "dc-a", WARM_UP_MS);
     f.open(1000, 20);
     EXPECT_EQ(f.refused, 0u);
-    EXPECT_EQ(f.taken[COLD].size(), 160u);
+    EXPECT_EQ(f.opened_at[COLD].size(), 160u);
 }
