--- a/flow/reach.c
+++ b/flow/reach.c
@@ -190,7 +190,7 @@
 
 /* Resets the idempotent requests that wait for an unreachable upstream: their
  * callers would retransmit only after 400, 800 ms and more, past their
- * deadline. Idle flows stay, as the upstream may be reachable again for their
+ * deadline.  Idle flows stay, as the upstream may be reachable again for their
  * next request. */
 static void
 reset_waiting(flowset_t *f, upstream_t *u)
--- a/flow/state.h
+++ b/flow/state.h
@@ -125,7 +125,7 @@
     link_t link;           /* flowset_t.services */
     group_t local, remote; /* in this data centre; in others */
     baseline_t baseline;
-    double answer_ms; /* median of the upstreams' averages; 0: none. A mean
+    double answer_ms; /* median of the upstreams' averages; 0: none.  A mean
                        * would follow a single outlier */
 };
 
--- a/flow/timeouts.c
+++ b/flow/timeouts.c
@@ -42,7 +42,7 @@
                                                   : ms;
 }
 
-/* Handles requests that timed out; returns the time of the next timeout. The
+/* Handles requests that timed out; returns the time of the next timeout.  The
  * list is in order of start, and services differ little: a request behind one
  * of a slower service is found slightly late. */
 static ms_t
--- a/test/flow_bed.h
+++ b/test/flow_bed.h
@@ -1,4 +1,4 @@
-/* A flow set under a test's own clock, with what it sends out kept. */
+/* A flow set on a simulated clock that records what it emits. */
 #ifndef SISKIN_TEST_FLOW_BED_H
 #define SISKIN_TEST_FLOW_BED_H
 
@@ -18,7 +18,7 @@
 
 struct FlowBed {
     ms_t now = 1000;
-    double warm_up_per_s = 0; /* of the first route's service; 0: not told */
+    double warm_up_per_s = 0; /* of the first route's service; 0: not set */
     flowset_t *flows;
     std::vector<flow_out_t> resets, probes, reaches, limits;
 
@@ -69,7 +69,7 @@
         uint32_t priority = 0;
     };
 
-    /* "198.18.0.1:443" to "feed", and the like. */
+    /* For example a route from "198.18.0.1:443" to "feed". */
     int
     routes(uint64_t version, const std::vector<Route> &list)
     {
@@ -154,7 +154,7 @@
         return p;
     }
 
-    /* A flow whose handshake is complete; returns the upstream's tag. */
+    /* Opens a flow with a complete handshake; returns the upstream's tag. */
     uint32_t
     open(int caller, const char *service)
     {
--- a/test/flow_load_test.cc
+++ b/test/flow_load_test.cc
@@ -1,6 +1,6 @@
-/* Placing new flows under load, replayed against upstreams with slots and
- * queues in virtual time.  Each test names the load, and compares with what
- * callers would get without the decision. */
+/* Tests of upstream selection under load, against simulated upstreams with
+ * slots and queues in virtual time.  Each test states the load, and compares
+ * with the result for callers without the decision under test. */
 #include "test/flow_bed.h"
 
 #include <cmath>
@@ -18,11 +18,11 @@
 struct Upstream {
     flow_upstream_t a;
     double work_ms;
-    bool ignores_openings =
-        false;                   /* takes no opening packet, though it lives */
-    bool rejects = false;        /* refuses each request at once */
-    bool rejects_unseen = false; /* refuses so that no instance sees it */
-    bool resets_openings = false; /* the same with an opening packet */
+    bool ignores_openings = false; /* alive, but accepts no flows */
+    bool rejects = false;          /* rejects each request at once */
+    bool rejects_unseen = false;   /* rejects requests unseen by instances */
+    bool resets_openings = false;  /* resets opening packets, unseen by
+                                    * instances */
     int running = 0;
     std::queue<int> waiting; /* requests */
     int taken = 0;
@@ -52,11 +52,11 @@
     int tries = 1;
 };
 
-/* A caller that is refused comes back twice, after some 10 ms. */
+/* A refused caller retries twice, after about 10 ms each time. */
 const int MAX_TRIES = 3;
 const ms_t RETRY_DELAY_MS = 10;
 
-/* How upstreams are chosen. */
+/* Selection policy. */
 enum class Policy { FLOWS, RANDOM };
 
 struct Load {
@@ -99,7 +99,7 @@
         events.push({when, order++, kind, request});
     }
 
-    /* Requests, each on a flow of its own, at so many a second. */
+    /* Adds requests, each on its own flow, at PER_S a second. */
     void
     offer(ms_t from, ms_t to, double per_s, const char *route = ROUTE)
     {
@@ -233,9 +233,7 @@
         }
     }
 
-    /* Goes on until UNTIL and, if so pending, until the last request has
-     * ended.
-     */
+    /* Runs until UNTIL or, if UNTIL_IDLE, until the last request has ended. */
     void
     run(ms_t until, bool until_idle = true)
     {
@@ -250,7 +248,8 @@
         }
     }
 
-    /* Of the requests of that time, the share not answered within MS. */
+    /* Share of the requests begun in [FROM, TO) that were not answered within
+     * MS. */
     double
     late(ms_t from, ms_t to, ms_t ms) const
     {
@@ -274,7 +273,7 @@
         return n;
     }
 
-    /* Answers in time to requests of that time, a second. */
+    /* Requests begun in [FROM, TO) that were answered within MS, a second. */
     double
     in_time(ms_t from, ms_t to, ms_t ms, const char *route = nullptr) const
     {
@@ -300,8 +299,8 @@
 
 } // namespace
 
-/* A burst brings 5 upstreams of 2 slots to nine tenths of what they can do.
- * By chance, some queue while others idle. */
+/* A burst loads 5 upstreams of 2 slots to nine tenths of their capacity.  With
+ * random selection, some queue while others idle. */
 TEST(Placing, InABurstFewerRequestsWaitThanByChance)
 {
     double late[2];
@@ -320,8 +319,8 @@
     EXPECT_LT(late[0], late[1] / 2);
 }
 
-/* One of five becomes five times as slow.  Its requests stay in progress, and
- * its answers take longer: it gets few new flows. */
+/* One of five upstreams becomes five times as slow.  Its requests stay in
+ * flight longer and its response time rises, so it gets few new flows. */
 TEST(Placing, ASlowUpstreamGetsFewFlows)
 {
     double late[2];
@@ -355,8 +354,8 @@
     EXPECT_GT(l.share(1), 0.02);
 }
 
-/* In calm no flow leaves the data centre: one that crosses is lost when data
- * centres lose each other. */
+/* At low load no flow leaves the data centre: flows between data centres are
+ * lost when the data centres are partitioned. */
 TEST(Placing, InCalmFlowsStayInTheirDataCentre)
 {
     Load l(2);
@@ -372,8 +371,8 @@
     }
 }
 
-/* A burst of one data centre's callers: twice what its upstreams can do, with
- * others idle next door. */
+/* A burst from one data centre's callers: 1.5 times the capacity of its
+ * upstreams, with idle upstreams in another data centre. */
 TEST(Placing, ABurstSpillsOverToAnotherDataCentre)
 {
     double late[2];
@@ -394,8 +393,9 @@
     EXPECT_LT(late[true], 0.3);
 }
 
-/* A server lives and answers probes but takes no flow.  Without a doubt that
- * a probe can settle, its unanswered openings alone must keep flows away. */
+/* A server is alive and answers probes but accepts no flows.  Probes always
+ * refute the suspicion, so its unanswered opening packets alone must keep
+ * flows away. */
 TEST(Placing, AnUpstreamThatOpensNothingGetsFewFlows)
 {
     Load l(2);
@@ -410,8 +410,8 @@
     EXPECT_LT(l.late(1000, 6000, 500), 0.02);
 }
 
-/* An upstream that refuses at once looks idle and fast.  It must not draw the
- * flows that the others would have served. */
+/* An upstream that rejects at once looks idle and fast.  It must not attract
+ * the flows that the others would have served. */
 TEST(Placing, FastRefusalsDrawNoFlows)
 {
     Load l(2);
@@ -425,8 +425,9 @@
     EXPECT_LT(l.share(1), 0.35); /* a fair share is 0.20 */
 }
 
-/* Long flows ask now and then.  Placed by requests in progress alone, in calm
- * all would go to whoever is idle at that moment, often the same one. */
+/* Long flows send requests only now and then.  Selected by requests in flight
+ * alone, at low load all would go to the upstream that is idle at that moment,
+ * often the same one. */
 TEST(Placing, LongFlowsAreSpreadEvenly)
 {
     FlowBed bed;
@@ -448,17 +449,17 @@
     EXPECT_LE(most - least, 2);
 }
 
-/* ---- More than the slots can run ---- */
+/* ---- Overload ---- */
 
 namespace {
 
 const ms_t GOAL_MS = 200;
 const ms_t WINDOW_MS = 2000;
 
-/* 10 upstreams of 2 slots run some 500 requests of 40 ms a second. */
+/* 10 upstreams of 2 slots run about 500 requests of 40 ms a second. */
 const double CAPACITY = 500;
 
-/* A load of its own for each of these. */
+/* Each seed gives a different load. */
 const uint64_t SEEDS[] = {42, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
 
 void
@@ -469,7 +470,7 @@
     }
 }
 
-/* Four instances that have seen their service in calm, until 3,000 ms. */
+/* Four instances that have seen their service at low load, until 3,000 ms. */
 struct Overload : Load {
     explicit Overload(uint64_t seed, ms_t goal_ms = GOAL_MS, int n = 4)
         : Load(n, goal_ms)
@@ -486,10 +487,9 @@
 
 } // namespace
 
-/* Twice what the slots can run, for eight seconds.  Every queue grows and all
- * answers are late, though all slots are busy.  What can't be served is
- * refused at once; of what the slots can run, 0.85 is answered in time in each
- * second.
+/* Twice the capacity for eight seconds.  Without a limit, every queue grows
+ * and all responses are late although all slots are busy.  The excess must be
+ * refused at once, and 0.85 of the capacity answered in time in each second.
  */
 TEST(Overload, WhatTheSlotsCanRunIsAnsweredInTime)
 {
@@ -513,7 +513,7 @@
     }
 }
 
-/* The same without goals, and so without a limit. */
+/* The same without goals, and therefore without a limit. */
 TEST(Overload, WithoutALimitHardlyAnyAnswerIsInTime)
 {
     Overload l(42, 0);
@@ -525,8 +525,8 @@
     EXPECT_LT(l.in_time(5000, 11000, GOAL_MS), 0.2 * CAPACITY);
 }
 
-/* The same for instances that start into it, as after a loss of power: none
- * has ever seen what an answer takes with slots free. */
+/* The same for instances that start during overload, as after a power failure:
+ * none has ever seen the response time with free slots. */
 TEST(Overload, InstancesThatStartIntoItKeepAnswersInTime)
 {
     for (uint64_t seed : SEEDS) {
@@ -539,9 +539,9 @@
     }
 }
 
-/* Up to four fifths of what the slots can run, with the chance bursts of
- * independent callers: no request is refused for load.  At four fifths chance
- * makes queues for moments; one load of that size stands for them. */
+/* Up to four fifths of the capacity, with the random bursts of independent
+ * callers: no request is refused for overload.  At four fifths, chance makes
+ * short queues; a single load of that size is tested. */
 TEST(Overload, NothingIsRefusedWhileSlotsAreFree)
 {
     for (uint64_t seed : SEEDS) {
@@ -558,8 +558,8 @@
     }
 }
 
-/* A service that takes most of the goal by itself: its answers are slow with
- * free slots, and refusing would serve nobody. */
+/* The service time alone takes most of the goal: responses are slow with free
+ * slots, and refusing requests would help no caller. */
 TEST(Overload, ASlowServiceWithoutQueuesRefusesNothing)
 {
     for (uint64_t seed : SEEDS) {
@@ -571,7 +571,8 @@
     }
 }
 
-/* Some upstreams become five times as slow.  The others have free slots. */
+/* Some upstreams become five times as slow while the others have free slots.
+ */
 TEST(Overload, SlowUpstreamsAmongOthersRefuseNothing)
 {
     for (uint64_t seed : SEEDS) {
@@ -585,14 +586,14 @@
     }
 }
 
-/* After the load has gone, nothing is refused any more, be the work a fifth or
- * two fifths of the goal. */
+/* After the overload, no more requests are refused, whether the service time
+ * is a fifth or two fifths of the goal. */
 TEST(Overload, TheLimitEndsWithTheLoad)
 {
     const std::pair<double, int> cases[] = {{40, 4}, {80, 4}, {40, 12}};
 
     for (uint64_t seed : SEEDS) {
-        for (const auto &c : cases) { /* work in ms, instances */
+        for (const auto &c : cases) { /* service time in ms, instances */
             double work_ms = c.first;
             Overload l(seed, GOAL_MS, c.second);
             double capacity = CAPACITY * 40 / work_ms;
@@ -607,7 +608,7 @@
             l.run(28000);
             EXPECT_EQ(l.refusals(), refused_before)
                 << "seed " << seed << " work " << work_ms;
-            for (const auto &i : l.instances) { /* told for the log */
+            for (const auto &i : l.instances) { /* emitted for the log */
                 ASSERT_GE(i->limits.size(), 2u);
                 EXPECT_TRUE(i->limits.front().limit.in_force);
                 EXPECT_FALSE(i->limits.back().limit.in_force);
@@ -618,8 +619,8 @@
 
 namespace {
 
-/* From 3,000 ms on FAULT holds for three of ten upstreams, and callers ask for
- * twice what ten can run: the seven others must be used. */
+/* From 3,000 ms on three of ten upstreams have FAULT, and callers offer twice
+ * the capacity of ten: the seven others must be fully used. */
 void
 expect_healthy_used(bool Upstream::*fault)
 {
@@ -640,26 +641,24 @@
 
 } // namespace
 
-/* Three of ten upstreams have too many connections and reset what comes: their
- * callers leave, and instances see nothing.  What was sent there must not
- * stand for requests in progress, or it keeps others from the seven that have
- * slots.
- */
+/* Three of ten upstreams have too many connections and reset opening packets:
+ * their callers leave, unseen by instances.  These openings must not count as
+ * requests in flight, or they keep others from the seven with free slots. */
 TEST(Overload, OpeningsThatAreResetTakeNoPlace)
 {
     expect_healthy_used(&Upstream::resets_openings);
 }
 
-/* Three of ten upstreams refuse what comes by short answers that their callers
- * never acknowledge.  The same, with requests in place of openings. */
+/* The same with requests instead of openings: three of ten upstreams reject
+ * requests by short responses that their callers never acknowledge. */
 TEST(Overload, RefusalsThatNobodySeesTakeNoPlace)
 {
     expect_healthy_used(&Upstream::rejects_unseen);
 }
 
-/* A copy of an opening packet comes to an instance whose limit is reached. The
- * first may have opened the flow through another: a reset would end it, and
- * silence would leave the caller waiting. */
+/* A copy of an opening packet arrives at an instance whose limit is reached.
+ * The first one may have opened the flow through another instance: a reset
+ * would end it, and a drop would leave the caller waiting. */
 TEST(Overload, ACopyIsNotRefused)
 {
     Overload l(42);
@@ -678,8 +677,9 @@
     EXPECT_EQ(full->packet(FlowBed::syn(60300, ROUTE, 1)).verb, FLOW_FORWARD);
 }
 
-/* The callers of one data centre ask for twice what its upstreams can run,
- * with as many idle next door: the excess goes there. */
+/* The callers of one data centre offer 1.6 times the capacity of its
+ * upstreams, with as many idle upstreams in another data centre: the excess
+ * goes there. */
 TEST(Overload, AFullDataCentreSendsTheExcessToAnother)
 {
     for (uint64_t seed : SEEDS) {
@@ -695,7 +695,7 @@
     }
 }
 
-/* One request in five is urgent.  At twice what the slots can run, those are
+/* One request in five is urgent.  At twice the capacity, urgent requests are
  * refused last. */
 TEST(Overload, UrgentRequestsAreRefusedLast)
 {
--- a/test/flow_prop_test.cc
+++ b/test/flow_prop_test.cc
@@ -1,16 +1,16 @@
 /* Properties of the flow set under any sequence of packets, announcements,
  * probes and time:
  *
- *   - a new flow goes to an upstream that is announced for the route's
- *     service, is not draining, and was not refused or silent at its last
- *     probe (or lapsed less than two seconds ago), and its data centre is not
- *     evacuated;
- *   - a flow is reset only when its upstream's host refused a probe, its
- *     address went to another, or it was silent three times and the caller may
+ *   - a new flow goes to an upstream that is announced for the route's service
+ *     (or whose announcement lapsed less than two seconds ago), is not
+ * draining, was not refused or silent at its last probe, and is not in an
+ * evacuated data centre;
+ *   - a flow is reset only if its upstream's host refused a probe, its address
+ *     went to another upstream, or three probes timed out and the caller may
  *     repeat its request;
- *   - a later packet goes to the upstream that its tag names, or nowhere;
- *   - what upstreams are taken to hold adds up to the flows that were opened.
- */
+ *   - a later packet goes to the upstream identified by its tag, or is not
+ *     forwarded;
+ *   - the counts of flows and requests at upstreams match the flows opened. */
 #include "test/flow_bed.h"
 
 #include <gtest/gtest.h>
@@ -29,9 +29,9 @@
     rng_t rng;
     std::map<uint64_t, flow_upstream_t> listed;
     std::map<uint64_t, ms_t> lapsed_at;
-    std::map<uint64_t, int> silent; /* probes in a row */
+    std::map<uint64_t, int> silent; /* probe timeouts in a row */
     std::set<uint64_t> refused;
-    std::map<int, uint32_t> tag; /* of callers' open flows */
+    std::map<int, uint32_t> tag; /* tags of the callers' open flows */
     std::set<uint64_t> known;
     std::set<std::string> evacuated;
 
@@ -48,7 +48,8 @@
             FlowBed::upstream(id, "svc", id % 2 ? "dc-a" : "dc-b");
         u.draining = rng_below(&rng, 5) == 0;
         if (listed.count(id) && listed[id].draining) {
-            u.draining = true; /* it does not come back under its id */
+            u.draining = true; /* a draining upstream does not return under its
+                                * id */
         }
         bed.announce(u);
         listed[id] = u;
@@ -215,8 +216,9 @@
     }));
 }
 
-/* All callers are gone and all time has passed: nothing is counted any more.
- * A count that leaked would keep an upstream from ever being chosen. */
+/* When all callers are gone and all timeouts have passed, nothing is counted
+ * any more.  A leaked count would keep an upstream from ever being selected.
+ */
 TEST(FlowProperties, NothingIsCountedAtTheEnd)
 {
     EXPECT_TRUE(rc::check("counts", [](uint32_t seed) {
--- a/test/flow_test.cc
+++ b/test/flow_test.cc
@@ -1,4 +1,4 @@
-/* Decisions about tagged flows: one small story a test. */
+/* Tests of decisions about tagged flows, one scenario each. */
 #include "test/flow_bed.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 #include <set>
 
 static const char FEED[] = "198.18.0.1:443";    /* idempotent */
-static const char COMMAND[] = "198.18.0.1:444"; /* once at most */
+static const char COMMAND[] = "198.18.0.1:444"; /* at most once */
 
 /* Two local upstreams and one in another data centre. */
 class Flow : public ::testing::Test {
@@ -23,7 +23,8 @@
         bed.announce(FlowBed::upstream(0x21, "svc", "dc-b"));
     }
 
-    /* A caller of U sends again what went unanswered: a probe starts. */
+    /* A caller retransmits an unanswered request to TAG's upstream, which
+     * starts a probe. */
     void
     raise_suspicion(int caller, uint32_t tag)
     {
@@ -73,8 +74,8 @@
     EXPECT_STREQ(d.service, "svc");
 }
 
-/* A router hands a flow's packets to another instance when one joins.  That
- * instance has never seen the flow: the tag alone leads to the upstream. */
+/* Routers send a flow's packets to another instance when one joins.  That
+ * instance has never seen the flow: the tag alone identifies the upstream. */
 TEST_F(Flow, AnotherInstanceForwardsByTheTagAlone)
 {
     flow_decision_t d = bed.packet(FlowBed::data(77, FEED, 0x21, 4000, 100));
@@ -102,12 +103,12 @@
 {
     flow_decision_t d = bed.packet(FlowBed::data(5, FEED, 0x99, 4000, 100));
 
-    EXPECT_EQ(d.verb, FLOW_DROP); /* its upstream may live */
+    EXPECT_EQ(d.verb, FLOW_DROP); /* its upstream may be alive */
     EXPECT_EQ(d.reason, FLOW_TAG_UNKNOWN);
 }
 
-/* Peers and the store may tell versions in any order.  An instance that took
- * an older one would route by it, which its callers have seen replaced. */
+/* Guards against: an older version of the routes that arrives late from a peer
+ * or the store, and replaces a newer one that callers have already seen. */
 TEST_F(Flow, VersionsNeverGoBack)
 {
     EXPECT_EQ(bed.routes(5, {{FEED, "svc", true}}), 0);
@@ -118,8 +119,9 @@
     EXPECT_EQ(bed.stats()->version, 5u);
 }
 
-/* Ids are longer than tags.  Of two upstreams with one tag only the first gets
- * flows: packets of the second's would reach the first and be reset. */
+/* Ids are longer than tags.  Of two upstreams with the same tag only the first
+ * gets flows: packets of the second's flows would reach the first and be
+ * reset. */
 TEST_F(Flow, AnUpstreamWithATakenTagGetsNoFlow)
 {
     flow_upstream_t duplicate = FlowBed::upstream(0x1200000011, "svc", "dc-a");
@@ -134,9 +136,9 @@
               0x11u);
 }
 
-/* A short answer is acknowledged only with the caller's next request, which
- * comes after a pause.  Taken for the time to an answer, the pause would make
- * its upstream look slow and the service full. */
+/* A short response is acknowledged only with the caller's next request, after
+ * a pause.  Counted as response time, the pause would make the upstream look
+ * slow and the service full. */
 TEST_F(Flow, ThePauseBeforeTheNextRequestIsNoPartOfAnAnswer)
 {
     uint32_t tag = bed.open(1, FEED);
@@ -167,9 +169,9 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* Announcements lapse while the store is away, all at once when it returns,
- * and are back within two seconds.  New flows need somewhere to go meanwhile;
- * later, one that is still missing has gone. */
+/* All announcements lapse together while the store is unavailable, and are
+ * back within two seconds of its return.  New flows need an upstream
+ * meanwhile; an upstream that is still missing later has left. */
 TEST_F(Flow, LapsedAnnouncementsAreUsedForAMoment)
 {
     for (uint64_t id : {0x11, 0x12, 0x21}) {
@@ -187,8 +189,8 @@
     EXPECT_EQ(bed.packet(FlowBed::syn(3, FEED)).upstream, 0x11u);
 }
 
-/* One of several whose announcement is gone has probably died: the others are
- * taken first. */
+/* If one of several announcements is gone, its upstream has probably died: the
+ * others are preferred. */
 TEST_F(Flow, AnUpstreamWithoutAnnouncementComesLast)
 {
     flowset_remove_upstream(bed.flows, bed.now, 0x11);
@@ -198,9 +200,9 @@
     }
 }
 
-/* A draining upstream has exited; idle callers still hold flows to it.  Its
- * host refuses the probe that the end of the announcement starts, so they are
- * reset before they ask again, and lose nothing. */
+/* A draining upstream has exited while idle callers still hold flows to it.
+ * Its host refuses the probe triggered by the end of the announcement, so the
+ * callers are reset before their next request, and lose nothing. */
 TEST_F(Flow, IdleFlowsOfAnUpstreamThatHasLeftAreReset)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -214,13 +216,13 @@
     ASSERT_FALSE(bed.resets.empty());
     for (const flow_out_t &r : bed.resets) {
         EXPECT_EQ(r.upstream, 0x11u);
-        EXPECT_EQ(r.reset.seq, 5000u); /* what the caller expects next */
+        EXPECT_EQ(r.reset.seq, 5000u); /* next byte the caller expects */
     }
 }
 
-/* A leaving server closes its TCP port some moments before its last flows end.
- * One refused probe is then no proof: reset at once, a flow that its server
- * still serves would be cut by a planned change.  The second, later, is. */
+/* A draining server closes its TCP port shortly before its last flows end, so
+ * one refused probe is no proof: a reset would cut flows that are still
+ * served, by a planned change.  A second, later refusal is proof. */
 TEST_F(Flow, ALeavingUpstreamsFlowsAreLeftUntilTheSecondRefusal)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -239,9 +241,9 @@
     EXPECT_FALSE(bed.resets.empty());
 }
 
-/* A leaving server has closed its port, and a caller still sends it an upload
- * through a full link: for seconds no instance sees an answer, and each
- * repetition starts a probe, which is refused.  It is announced all the while
+/* A draining server has closed its port while a caller still uploads to it
+ * through a saturated link: no instance sees a response for seconds, and each
+ * retransmission starts a probe, which is refused.  The server is announced
  * and serves to the end; its flow must not be cut by a planned change. */
 TEST_F(Flow, ALeavingUpstreamThatIsAnnouncedKeepsItsFlows)
 {
@@ -252,7 +254,7 @@
     bed.announce(u);
     bed.resets.clear();
     for (uint32_t i = 0; i < 5; i++) {
-        for (ms_t wait : {400, 0}) { /* new bytes, and again */
+        for (ms_t wait : {400, 0}) { /* new data, then its retransmission */
             bed.packet(FlowBed::data((int)caller, COMMAND, 0x11,
                                      1001 + 1200 * i, 1200));
             bed.now += wait;
@@ -264,13 +266,13 @@
     flowset_remove_upstream(bed.flows, bed.now, 0x11);
     bed.advance(2000);
     bed.probed(0x11, PROBE_REFUSED);
-    EXPECT_FALSE(bed.resets.empty()); /* now it has left */
+    EXPECT_FALSE(bed.resets.empty()); /* the upstream has left */
 }
 
-/* A server whose connections are over its limit accepts a probe and resets it.
- * It lives and answers its callers, 200 ms late; a caller repeats its request
- * in between and starts the probe.  None of its flows may be ended, at the
- * first such probe or the tenth. */
+/* A server over its connection limit accepts a probe and resets it.  It is
+ * alive and responds 200 ms late; a caller's retransmission in between starts
+ * the probe.  No flow may be reset, after the first such probe or the tenth.
+ */
 TEST_F(Flow, AnOverloadedUpstreamThatResetsProbesKeepsItsFlows)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -282,7 +284,7 @@
         bed.probes.clear();
         bed.probed(0x11, PROBE_RESET);
         bed.advance(60);
-        ASSERT_EQ(bed.probes.size(), 1u); /* asked again soon */
+        ASSERT_EQ(bed.probes.size(), 1u); /* probed again soon */
     }
     EXPECT_TRUE(bed.resets.empty());
     EXPECT_EQ(
@@ -290,8 +292,8 @@
         FLOW_FORWARD);
 }
 
-/* The same reset comes when a process ends with a connection in its queue: the
- * next probe is refused, and then its callers are told. */
+/* The same reset occurs when a process ends with a connection in its accept
+ * queue: the next probe is refused, and the callers are reset. */
 TEST_F(Flow, AnUpstreamThatEndsAfterItResetAProbeIsFoundByTheNext)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -306,9 +308,9 @@
     EXPECT_FALSE(bed.resets.empty());
 }
 
-/* An address is given to a server of another service only after its former
- * holder has ended.  Packets of the former's flows must not be carried to the
- * new one, and their callers needn't wait. */
+/* An address is assigned to a server of another service only after its
+ * previous upstream has ended.  Packets of the old flows must not be forwarded
+ * to the new server, and their callers needn't wait. */
 TEST_F(Flow, AnAddressThatIsUsedAgainEndsItsFormerFlows)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -324,9 +326,9 @@
     EXPECT_EQ(d.reason, FLOW_UPSTREAM_DEAD);
 }
 
-/* The former holder's announcement outlasts it, and a list tells both, in the
- * order of their ids.  The later announced one is there now: its flows must
- * not be reset, whatever the order. */
+/* The previous upstream's announcement outlasts it, and a list contains both
+ * in order of id.  The one announced later is current: its flows must not be
+ * reset, in either order. */
 TEST(FlowAddress, OfTwoAtOneAddressTheLaterAnnouncedHoldsIt)
 {
     for (bool previous_first : {true, false}) {
@@ -347,8 +349,8 @@
     }
 }
 
-/* A server starts again under its id and holds nothing of before.  It resets
- * old flows itself; what is counted here starts anew. */
+/* A server restarts under its id and holds no former flows.  It resets these
+ * itself; the counts here start from zero. */
 TEST_F(Flow, AnUpstreamBornAgainHasNoFlows)
 {
     flow_upstream_t u = FlowBed::upstream(0x11, "svc", "dc-a");
@@ -363,8 +365,8 @@
 
 /* ---- Reach ---- */
 
-/* A caller repeats itself after a lost packet as well.  The probe is answered:
- * the upstream lives, nothing is reset, and it goes on getting flows. */
+/* A caller also retransmits after packet loss.  If the probe is answered,
+ * nothing is reset and the upstream continues to get flows. */
 TEST_F(Flow, ADoubtThatAProbeRefutesChangesNothing)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -376,12 +378,13 @@
     EXPECT_EQ(
         bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 100)).verb,
         FLOW_FORWARD);
-    EXPECT_EQ(bed.probes.size(), 1u); /* settled for a while */
+    EXPECT_EQ(bed.probes.size(), 1u); /* no new probe during the grace
+                                       * period */
     EXPECT_NE(open_at(0x11, 100), 0u);
 }
 
-/* Routers may let a packet overtake another.  The late one holds bytes seen
- * before, but too early for a repetition. */
+/* Routers may reorder packets.  A late one repeats data seen before, but too
+ * early for a retransmission. */
 TEST_F(Flow, OvertakenPacketsRaiseNoDoubt)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -393,8 +396,8 @@
     EXPECT_TRUE(bed.probes.empty());
 }
 
-/* Other callers of the upstream got answers since: one repetition is a lost
- * packet, and no probe is spent on it. */
+/* Other callers of the upstream have got responses since: a single
+ * retransmission is packet loss, and no probe is sent. */
 TEST_F(Flow, OthersThatGoOnRefuteADoubt)
 {
     int a = (int)open_at(0x11, 1), b = (int)open_at(0x11, 100);
@@ -408,9 +411,9 @@
     EXPECT_TRUE(bed.probes.empty());
 }
 
-/* A server dies without a word.  One caller repeats itself, the host refuses
- * the probe: every caller of that server is told at once, and tries elsewhere
- * well before its goal has passed. */
+/* A server crashes silently.  After one caller's retransmission its host
+ * refuses the probe: every caller of that server is reset at once, and can
+ * retry elsewhere well within its goal. */
 TEST_F(Flow, ADeadUpstreamsFlowsAreResetAndNewOnesGoElsewhere)
 {
     int a = (int)open_at(0x11, 1);
@@ -426,10 +429,10 @@
               FLOW_UPSTREAM_DEAD);
 }
 
-/* An instance passes an opening packet to an upstream that has just died, and
- * stands still.  The caller's copy goes to another instance, which opens the
- * flow at a living upstream.  Back again, the first instance learns of the
- * death: a reset would end the flow that lives. */
+/* An instance forwards an opening packet to an upstream that has just died,
+ * and is paused.  The caller's copy goes through another instance, which opens
+ * the flow at a live upstream.  When the first instance resumes and detects
+ * the death, a reset would end the live flow. */
 TEST_F(Flow, AnOpeningThatIsOlderThanACopyIsNotReset)
 {
     int caller = 1;
@@ -444,10 +447,11 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* An instance stands still with a caller's opening packet in its socket.  The
- * caller's copy opens the flow through another one.  Awake again, the instance
- * passes the old packet on to an upstream that has died meanwhile, and learns
- * so at once: the record is young, the packet is not. */
+/* An instance is paused with a caller's opening packet in its socket buffer,
+ * and the caller's copy opens the flow through another instance.  On resuming,
+ * the first instance forwards the old packet to an upstream that has died
+ * meanwhile, and detects this at once: the record is recent but the packet is
+ * not, and the flow must not be reset. */
 TEST_F(Flow, AnOpeningThatWaitedToBeReadIsNotReset)
 {
     flow_packet_t p = FlowBed::syn(1, COMMAND);
@@ -461,9 +465,9 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* A slow upstream answers the first opening packet after its caller has sent a
- * copy.  The copy came here and went to an upstream that is dead: the flow is
- * open by now, and a reset would end it. */
+/* A slow upstream answers the first opening packet after the caller has sent a
+ * copy.  The copy arrived here and went to a dead upstream: the flow is open
+ * by now, and a reset would end it. */
 TEST_F(Flow, ACopyAtADeadUpstreamIsNotReset)
 {
     uint64_t up = bed.packet(FlowBed::syn(1, COMMAND, 1)).upstream;
@@ -474,7 +478,8 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* The same when both came here and the copy was moved to the dead one. */
+/* The same when both arrived here and the copy was moved to the dead upstream.
+ */
 TEST_F(Flow, AMovedCopyAtADeadUpstreamIsNotReset)
 {
     uint64_t second;
@@ -487,9 +492,9 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* An instance that stood still knows no upstream or route that takes an old
- * opening packet or a copy: another instance may have opened the flow.  Its
- * caller is told at the packet that is neither. */
+/* A resumed instance has no upstream or route for an old opening packet or a
+ * copy: another instance may have opened the flow, so it is not reset.  An
+ * opening packet that is neither is reset. */
 TEST_F(Flow, ALateOpeningThatNobodyTakesIsDropped)
 {
     static const char NO_ROUTE[] = "198.18.0.9:9";
@@ -510,8 +515,9 @@
     EXPECT_EQ(bed.packet(FlowBed::syn(3, FEED)).verb, FLOW_RESET);
 }
 
-/* Packets that waited tell of the time when they came: a caller went on then,
- * and its upstream may have died since.  The doubt stays. */
+/* Packets that waited to be read date from their arrival: the caller's flow
+ * made progress then, but the upstream may have died since.  It stays suspect.
+ */
 TEST_F(Flow, AnOldSignOfLifeSettlesNoDoubt)
 {
     uint32_t caller = open_at(0x11, 1);
@@ -529,8 +535,8 @@
     EXPECT_EQ(bed.reaches.size(), 1u);
 }
 
-/* Before its caller sends a copy, the opening can only have been passed on
- * here: its caller is told at once. */
+/* Until the caller may have sent a copy, only this instance can have forwarded
+ * the opening packet: the caller is reset at once. */
 TEST_F(Flow, AYoungOpeningAtADeadUpstreamIsReset)
 {
     uint64_t up = bed.packet(FlowBed::syn(1, COMMAND)).upstream;
@@ -542,14 +548,15 @@
     EXPECT_EQ(bed.resets.size(), 1u);
 }
 
-/* A request is unanswered for much longer than the service's usual: it is
- * asked about before its caller sends again.  Once others get answers, a long
- * wait means a long request, and no probe is spent. */
+/* A request that is unanswered for much longer than the service's median
+ * response time starts a probe before its caller retransmits.  If other
+ * callers get responses meanwhile, the long wait means a long request, and no
+ * probe is sent. */
 TEST_F(Flow, ALongWaitRaisesADoubtBeforeTheCallerRepeatsItself)
 {
     int a = (int)open_at(0x11, 1), b = (int)open_at(0x11, 100);
 
-    for (int i = 0; i < 60; i++) { /* answers take some 20 ms */
+    for (int i = 0; i < 60; i++) { /* responses take about 20 ms */
         uint32_t seq = 1001 + 100 * (uint32_t)i;
         bed.packet(FlowBed::data(b, FEED, 0x11, seq, 100, 5000 + i));
         bed.now += 20;
@@ -570,7 +577,7 @@
     EXPECT_EQ(bed.probes.size(), 1u);
 }
 
-/* What an upstream has closed must not be reset afterwards. */
+/* A flow that has been closed must not be reset afterwards. */
 TEST_F(Flow, EndedFlowsAreNotReset)
 {
     int a = (int)open_at(0x11, 1);
@@ -586,9 +593,9 @@
     }
 }
 
-/* A data centre is cut off: probes get no answer.  The servers there live, and
- * may be working on what they were sent, so only callers that may repeat their
- * request, and ask for something now, are told to try elsewhere. */
+/* A data centre is partitioned and probes time out.  Its servers are alive and
+ * may be processing requests, so only callers with a pending request that may
+ * be repeated are reset, to retry elsewhere. */
 TEST_F(Flow, AnUnreachableUpstreamIsLeftByRepeatableRequestsOnly)
 {
     int a = (int)open_at(0x11, 1);
@@ -597,7 +604,8 @@
     raise_suspicion(a, 0x11);
     bed.now += 200;
     bed.probed(0x11, PROBE_SILENT);
-    /* One may have been lost; another upstream is asked beside it. */
+    /* The probe may have been lost: the next has a control probe of another
+     * upstream. */
     ASSERT_EQ(bed.probes.size(), 3u);
     EXPECT_EQ(bed.probes[1].upstream, 0x11u);
     EXPECT_EQ(bed.probes[2].upstream, 0x12u);
@@ -609,7 +617,8 @@
     bed.now += 200;
     EXPECT_TRUE(bed.resets.empty());
     bed.probed(0x11, PROBE_SILENT);
-    ASSERT_EQ(bed.resets.size(), 1u); /* A waits, and may ask again */
+    ASSERT_EQ(bed.resets.size(), 1u); /* A has a pending request that may be
+                                       * repeated */
     EXPECT_EQ(bed.resets[0].reset.caller.port, a);
     EXPECT_EQ(bed.resets[0].reset.reason, FLOW_UPSTREAM_OUT);
     EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).reason,
@@ -623,9 +632,8 @@
     }
 }
 
-/* A small instance's own link is full: whatever it asks, no answer comes in
- * time.  Not one of the upstreams is at fault, and their flows, which are
- * merely late, must not be reset. */
+/* The link of a small instance is saturated: no probe is answered in time.  No
+ * upstream is at fault, and flows that are merely late must not be reset. */
 TEST_F(Flow, WhenNothingAnswersItIsTheInstanceItself)
 {
     int a = (int)open_at(0x11, 1);
@@ -649,8 +657,8 @@
     EXPECT_EQ(bed.packet(FlowBed::syn(500, FEED)).verb, FLOW_FORWARD);
 }
 
-/* A link that is nearly full drops some packets and lets others pass.  One
- * answer beside a silent probe is then no proof: it takes both. */
+/* A nearly saturated link drops some packets and passes others.  A single
+ * answered control probe is then no proof; two are required. */
 TEST_F(Flow, OneAnswerBesideASilentProbeProvesNothing)
 {
     probe_with_controls(PROBE_ANSWERED, PROBE_SILENT);
@@ -661,10 +669,10 @@
     probe_with_controls(PROBE_SILENT, PROBE_ANSWERED);
 }
 
-/* A burst of uploads fills a small instance's link for a minute: a third of
- * its probes get no answer in time, whomever they ask.  Among thousands, three
- * in a row are silent by chance again and again, with an answer beside each.
- * No upstream may be found unreachable by that. */
+/* A burst of uploads saturates a small instance's link for a minute: a third
+ * of its probes time out, whatever the upstream.  Among thousands, three in a
+ * row time out by chance repeatedly, each with an answered control probe.  No
+ * upstream may become unreachable by that. */
 TEST_F(Flow, ChanceOnAFullLinkFindsNoUpstreamUnreachable)
 {
     rng_t rng = {11, 0};
@@ -679,7 +687,8 @@
     }
     for (uint32_t round = 0; round < 100; round++) {
         bed.now += 500;
-        for (ms_t wait : {200, 0}) { /* each sends a request, and again */
+        for (ms_t wait : {200, 0}) { /* each sends a request, then retransmits
+                                      * it */
             for (const auto &c : caller_of) {
                 bed.packet(FlowBed::data(c.second, FEED, (uint32_t)c.first,
                                          1001 + 100 * round, 100));
@@ -703,8 +712,8 @@
     EXPECT_TRUE(bed.resets.empty());
 }
 
-/* It comes back by proof: it is probed now and then, and the first answer
- * makes it good. */
+/* An unreachable upstream is probed at intervals, and the first answered probe
+ * makes it healthy again. */
 TEST_F(Flow, AnUnreachableUpstreamReturnsWithItsFirstAnswer)
 {
     int a = (int)open_at(0x11, 1);
@@ -723,8 +732,8 @@
     EXPECT_NE(open_at(0x11, 300), 0u);
 }
 
-/* A server that died wrote to the store just before: its announcement arrives
- * after the refused probe.  It gets no flow until a probe is answered. */
+/* A server wrote to the store just before it died, so its announcement arrives
+ * after the refused probe.  It gets no flows until a probe is answered. */
 TEST_F(Flow, AnAnnouncementAloneDoesNotRaiseTheDead)
 {
     int a = (int)open_at(0x11, 1);
@@ -739,7 +748,8 @@
     EXPECT_NE(open_at(0x11, 400), 0u);
 }
 
-/* Probes of what stays away come less and less often, up to a bound. */
+/* Probes of an upstream that stays unreachable back off, up to a maximum
+ * interval. */
 TEST_F(Flow, ProbesOfAnUnreachableUpstreamBackOff)
 {
     int a = (int)open_at(0x11, 1);
@@ -761,8 +771,8 @@
     EXPECT_LE(n, 20u);
 }
 
-/* An opening packet that nobody answers shows within 80 ms that something is
- * wrong, long before its copy comes; the copy goes to another upstream. */
+/* An opening packet unanswered for 80 ms makes its upstream suspect, long
+ * before the caller sends a copy; the copy goes to another upstream. */
 TEST_F(Flow, AnUnansweredOpeningPacketMovesOn)
 {
     flow_decision_t first = bed.packet(FlowBed::syn(1, FEED)), second;
@@ -790,8 +800,8 @@
     EXPECT_EQ(first.upstream, 0x41u);
 }
 
-/* The process stood still for seconds.  Callers sent again meanwhile, which
- * says nothing about upstreams: no probe, no doubt. */
+/* The process was paused for seconds.  Retransmissions from that time prove
+ * nothing about upstreams: no probe, no suspicion. */
 TEST_F(Flow, APauseOfTheProcessProvesNothing)
 {
     int a = (int)open_at(0x11, 1);
@@ -805,8 +815,8 @@
     EXPECT_TRUE(bed.probes.empty());
 }
 
-/* A probe that could not be made (no descriptor is free) settles nothing and
- * is made later. */
+/* A probe that could not be sent (no free descriptor) proves nothing and is
+ * repeated later. */
 TEST_F(Flow, AProbeThatWasNotMadeIsTriedAgain)
 {
     int a = (int)open_at(0x11, 1);
@@ -862,8 +872,8 @@
 
 /* ---- Evacuations ---- */
 
-/* An evacuation applied late or in part would go on sending flows to upstreams
- * that the operator is about to take away. */
+/* Guards against: an evacuation applied late or in part, which would go on
+ * sending flows to upstreams that the operator is about to take down. */
 TEST_F(Flow, AnEvacuatedDataCentreGetsNoNewFlow)
 {
     EXPECT_EQ(flowset_evacuate(bed.flows, "dc-a", true, 0), 2);
@@ -874,7 +884,7 @@
     EXPECT_EQ(bed.stats()->usable, 1u);
 }
 
-/* A reset would break a feed that the evacuation is meant to spare. */
+/* A reset would break a feed that the evacuation is meant to preserve. */
 TEST_F(Flow, AnEvacuationLeavesOpenFlowsAlone)
 {
     int caller = (int)open_at(0x11, 1);
@@ -891,8 +901,8 @@
               0x12u);
 }
 
-/* A retransmitted opening packet would open a flow in the evacuated data
- * centre long after the evacuation began. */
+/* Guards against: a retransmitted opening packet that opens a flow in the
+ * evacuated data centre long after the evacuation began. */
 TEST_F(Flow, ARetransmittedOpeningPacketLeavesAnEvacuatedDataCentre)
 {
     ASSERT_NE(bed.packet(FlowBed::syn(1, FEED)).upstream, 0x21u);
@@ -903,7 +913,8 @@
     EXPECT_EQ(d.upstream, 0x21u);
 }
 
-/* Callers would wait for an answer that nobody may give. */
+/* Guards against: callers that wait although no upstream may take their flows.
+ */
 TEST_F(Flow, WithAllDataCentresEvacuatedCallersAreResetAtOnce)
 {
     flowset_evacuate(bed.flows, "dc-a", true, 0);
@@ -917,20 +928,20 @@
     EXPECT_EQ(d.reason, FLOW_EVACUATED);
 }
 
-/* An instance that starts late hears of the evacuation before it hears of
- * upstreams, and of upstreams that start meanwhile. */
+/* An instance that starts late receives the evacuation before the upstreams,
+ * and upstreams may start during an evacuation. */
 TEST_F(Flow, UpstreamsAnnouncedDuringAnEvacuationGetNoFlow)
 {
     flowset_evacuate(bed.flows, "dc-c", true, 0);
     bed.announce(FlowBed::upstream(0x31, "svc", "dc-c"));
-    bed.announce(FlowBed::upstream(0x31, "svc", "dc-c")); /* anew */
+    bed.announce(FlowBed::upstream(0x31, "svc", "dc-c")); /* announced again */
     for (int caller = 1; caller < 100; caller++) {
         EXPECT_NE(bed.packet(FlowBed::syn(caller, FEED)).upstream, 0x31u);
     }
 }
 
-/* After the end of an evacuation its upstreams would stay idle for ever; those
- * that have left or drain meanwhile must stay out. */
+/* After an evacuation its upstreams must not stay idle for ever; those that
+ * have left or are draining must stay excluded. */
 TEST_F(Flow, TheEndOfAnEvacuationBringsBackThoseThatMayBeChosen)
 {
     std::set<uint64_t> chosen;
@@ -949,12 +960,12 @@
     for (int caller = 1; caller < 100; caller++) {
         chosen.insert(bed.packet(FlowBed::syn(caller, FEED)).upstream);
     }
-    chosen.erase(0x21); /* the others' queues spill over */
+    chosen.erase(0x21); /* overflow of the other upstreams' queues */
     EXPECT_EQ(chosen, (std::set<uint64_t>{0x11, 0x14}));
     EXPECT_EQ(bed.stats()->evacuated, 0u);
 }
 
-/* Names come from outside: they must not fill the memory. */
+/* Names are external input and must not exhaust memory. */
 TEST_F(Flow, EvacuationsAreBounded)
 {
     for (int i = 0; i < EVACUATIONS_MAX; i++) {
@@ -967,7 +978,7 @@
 }
 
 /* Guards against: a flood of flows at upstreams that became cold during the
- * evacuation, where the end is heard of before their announcements are. */
+ * evacuation, if its end is received before their announcements. */
 TEST_F(Flow, AnEvacuationEndsOnlyWhenTheUpstreamsAreKnownAsOfThen)
 {
     flowset_evacuate(bed.flows, "dc-a", true, 50);
@@ -982,7 +993,8 @@
     EXPECT_NE(bed.packet(FlowBed::syn(3, FEED)).upstream, 0x21u);
 }
 
-/* Guards against: a late end of an evacuation that has begun again. */
+/* Guards against: the late end of an evacuation that has been started again.
+ */
 TEST_F(Flow, AnEvacuationThatBeginsAgainDoesNotEnd)
 {
     flowset_evacuate(bed.flows, "dc-a", true, 50);
--- a/test/pacer_test.cc
+++ b/test/pacer_test.cc
@@ -1,5 +1,5 @@
-/* Pacing packets to the outgoing link, replayed against a link with a rate and
- * a short queue, and callers that retransmit. */
+/* Tests of the pacer against a simulated link with a rate and a short queue,
+ * and callers that retransmit. */
 #include "flow/flow.h"
 #include "test/flow_bed.h"
 
@@ -62,7 +62,7 @@
         return w != nullptr ? LIST_OWNER(w, Waiting, paced)->id : -1;
     }
 
-    /* All that leaves until TO, a look each millisecond. */
+    /* Pops packets every millisecond until TO; returns their ids. */
     std::vector<int>
     drain(ms_t from, ms_t to)
     {
@@ -174,14 +174,14 @@
 
 /* ---- A link full of uploads ---- */
 
-/* The instance's link: a queue of 50 ms, from which packets leave at RATE. */
+/* The instance's link: a queue of 50 ms, drained at RATE. */
 struct Link {
     const double queue_max = RATE * 0.05;
     double backlog = 0;
     ms_t at = 0;
     int lost = 0;
 
-    /* When a packet arrives at the other end; -1: lost. */
+    /* Returns when the packet arrives at the other end; -1: lost. */
     ms_t
     send(ms_t now, uint32_t bytes)
     {
@@ -198,20 +198,20 @@
 };
 
 /* A caller's upload: a window of 16 packets, cumulative acknowledgements, all
- * that is unacknowledged sent again after 200 ms, 400 and so on. */
+ * unacknowledged data retransmitted after 200 ms, 400 ms and so on. */
 struct Upload {
     int flow;
     int packets;
     ms_t began;
     ms_t done = -1;
     int acked = 0, sent = 0;
-    ms_t wait = 200, resend_at = MS_NEVER;
-    std::set<int> got; /* at the upstream */
+    ms_t rto = 200, resend_at = MS_NEVER;
+    std::set<int> got; /* sequence numbers received by the upstream */
     std::multimap<ms_t, int> arrivals, acks;
 };
 
 const int WINDOW = 16;
-const ms_t WAIT_MAX = 1600;
+const ms_t RTO_MAX = 1600;
 const ms_t ACK_MS = 6;
 
 struct LinkBed {
@@ -252,7 +252,7 @@
         }
     }
 
-    /* A caller's packet comes in at the instance. */
+    /* A caller's packet arrives at the instance. */
     void
     forward(Upload &u, int seq)
     {
@@ -297,8 +297,8 @@
             u.acks.erase(u.acks.begin());
             if (upto > u.acked) {
                 u.acked = upto;
-                u.wait = 200;
-                u.resend_at = now + u.wait;
+                u.rto = 200;
+                u.resend_at = now + u.rto;
             }
         }
         if (u.acked == u.packets && u.done < 0) {
@@ -312,12 +312,12 @@
         if (now >= u.resend_at && u.acked < u.packets) {
             retransmitted += u.sent - u.acked;
             u.sent = u.acked;
-            u.wait = u.wait * 2 > WAIT_MAX ? WAIT_MAX : u.wait * 2;
-            u.resend_at = now + u.wait;
+            u.rto = u.rto * 2 > RTO_MAX ? RTO_MAX : u.rto * 2;
+            u.resend_at = now + u.rto;
         }
         for (; u.sent < u.packets && u.sent < u.acked + WINDOW; u.sent++) {
             if (u.sent == u.acked) {
-                u.resend_at = now + u.wait;
+                u.resend_at = now + u.rto;
             }
             forward(u, u.sent);
         }
@@ -359,8 +359,9 @@
         now++;
     }
 
-    /* N uploads of so many PACKETS, 80 kB unless said, GAP apart; meanwhile a
-     * short request each 50 ms and a packet of control traffic each 20 ms. */
+    /* Runs N uploads of PACKETS packets each (80 kB by default), started GAP
+     * apart, with a short request every 50 ms and a control packet every 20
+     * ms. */
     void
     run(int n, ms_t gap, ms_t length, int packets = 67)
     {
@@ -370,7 +371,7 @@
             u.packets = packets;
             u.began = i * gap;
             u.done = -1;
-            u.wait = 200;
+            u.rto = 200;
             u.resend_at = MS_NEVER;
             uploads.push_back(u);
         }
@@ -400,8 +401,8 @@
 const ms_t SHORT_GOAL = 600; /* of a short request */
 const ms_t LENGTH = 20000;
 
-/* Guards against: a window that overflows the link's queue, sent again whole,
- * and control traffic lost with it. */
+/* Guards against: a window that overflows the link's queue, so that the whole
+ * window is retransmitted and control traffic is lost too. */
 TEST(FullLink, UploadsAreInGoalAndControlIsNotLost)
 {
     LinkBed paced(RATE), unpaced(0);
@@ -414,16 +415,16 @@
     EXPECT_EQ(paced.control_lost, 0);
     EXPECT_EQ(paced.short_lost, 0);
     EXPECT_LE(paced.short_worst, SHORT_GOAL / 4);
-    /* The load shows the fault where packets are not paced. */
+    /* Without pacing, the same load shows the fault. */
     EXPECT_LT(unpaced.in_goal(GOAL), 20);
     EXPECT_GT(unpaced.control_lost, 0);
 }
 
-/* Guards against: more uploads at a time than get an acknowledgement within a
- * retransmission timeout, whose copies fill the link. */
+/* Guards against: more concurrent uploads than can be acknowledged within a
+ * retransmission timeout, whose retransmissions fill the link. */
 TEST(FullLink, CopiesOfWhatWaitsAreNotForwarded)
 {
-    const int N = 45, PACKETS = 5; /* a turn takes 228 ms */
+    const int N = 45, PACKETS = 5; /* one round of all flows takes 228 ms */
     LinkBed paced(RATE);
 
     paced.run(N, 0, LENGTH, PACKETS);
@@ -436,7 +437,7 @@
 }
 
 /* Guards against: a queue that grows without bound when callers send more than
- * the link carries. */
+ * the link can carry. */
 TEST(FullLink, MoreThanTheLinkCarriesStillServesShortRequests)
 {
     LinkBed paced(RATE);
--- a/test/warmup_test.cc
+++ b/test/warmup_test.cc
@@ -1,5 +1,5 @@
-/* New flows at upstreams that warm up, from many instances that don't count
- * each other's. */
+/* Tests of new flows at upstreams in slow start, from many instances that
+ * don't see each other's flows. */
 #include "test/flow_bed.h"
 
 #include <deque>
@@ -14,8 +14,8 @@
 const ms_t WARM_UP_MS = 4000;
 const double OVER = 1.5, SLACK = 5; /* FlowBed's */
 
-/* Instances of one data centre, of which the first ANNOUNCED open flows at
- * upstreams that warm up. */
+/* Instances of one data centre; the first ANNOUNCED of them open flows at
+ * upstreams in slow start. */
 struct Fleet {
     std::vector<std::unique_ptr<FlowBed>> bed;
     std::map<uint64_t, std::deque<ms_t>> opened_at;
@@ -46,7 +46,7 @@
         }
     }
 
-    /* Each instance opens flows at so many a second. */
+    /* Each instance opens EACH_PER_S flows a second. */
     void
     open(ms_t ms, double each_per_s)
     {
@@ -91,7 +91,7 @@
 } // namespace
 
 /* Guards against: hundreds of instances that find an upstream idle after its
- * start, and open more flows there than it bears while it warms up. */
+ * start, and open more flows there than it can take during slow start. */
 TEST(WarmUp, TheSumOfAllInstancesIsWithinTheBound)
 {
     for (int instances : {1, 8, 88, 300}) {
@@ -107,8 +107,8 @@
     }
 }
 
-/* Guards against: a share that is opened_at over by others when instances lose
- * each other, or a list of them that differs for a moment. */
+/* Guards against: a share that other instances take over during a partition,
+ * and lists of instances that differ for a moment. */
 TEST(WarmUp, TheSumHoldsWhenInstancesKnowOnlyThemselves)
 {
     Fleet f(88, 4, 6);
@@ -123,8 +123,8 @@
     EXPECT_LE(f.max_per_s, 6 * OVER + SLACK);
 }
 
-/* Guards against: callers that wait where the only upstreams have their share
- * already. */
+/* Guards against: callers that wait although all eligible upstreams have
+ * reached their share of new flows. */
 TEST(WarmUp, BeyondTheShareCallersAreResetAtOnceWhenNoOtherIsThere)
 {
     Fleet f(1, 1, 2);
@@ -139,10 +139,10 @@
 }
 
 /* Guards against: callers that are reset although some upstreams are warm,
- * since a sample of a large service holds none of them. */
+ * because a random sample of a large service contains none of them. */
 TEST(WarmUp, TheFewThatAreWarmAreFoundAmongMany)
 {
-    Fleet f(2, 1, 2); /* the second opens no flow at upstreams that warm up */
+    Fleet f(2, 1, 2); /* the second opens no flow at upstreams in slow start */
 
     for (uint64_t id = 0x100; id < 0x100 + 200; id++) {
         f.announce(id, "dc-a", WARM_UP_MS);
@@ -154,8 +154,9 @@
     }
 }
 
-/* Guards against: a limit that stays after the warm-up, and an upstream of
- * another data centre, whose announced instances aren't known here. */
+/* Guards against: a limit that stays in force after slow start, and flows to
+ * an upstream in slow start in another data centre, whose announced instances
+ * aren't known here. */
 TEST(WarmUp, OnlyTheOwnDataCentreOpensFlowsThere)
 {
     Fleet f(4, 4, 10);
@@ -168,7 +169,7 @@
     EXPECT_GT(f.opened_at[COLD].size(), 0u);
 }
 
-/* Guards against: a reason that sends the operator the wrong way. */
+/* Guards against: a reported reason that misleads the operator. */
 TEST(WarmUp, AnUpstreamThatHasEndedIsNoReasonToWaitForItsWarmUp)
 {
     Fleet f(1, 1, 0);
@@ -177,13 +178,13 @@
     f.announce(COLD, "dc-a", WARM_UP_MS);
     flow_upstream_t next = FlowBed::upstream(COLD, "other", "dc-a");
     next.id = COLD + 1;
-    next.revision = 9; /* its address is another's now */
+    next.revision = 9; /* its address now belongs to another upstream */
     bed.announce(next);
     EXPECT_EQ(bed.packet(FlowBed::syn(1, ROUTE)).reason, FLOW_NO_UPSTREAM);
 }
 
-/* Guards against: a bound of nothing, read from a service that doesn't tell
- * one. */
+/* Guards against: a bound of zero, read from a service that doesn't set one.
+ */
 TEST(WarmUp, WhereNothingIsToldNothingIsBounded)
 {
     Fleet f(8, 4, 0);
