--- a/flow/limit.c
+++ b/flow/limit.c
@@ -32,11 +32,11 @@
 /* Responses until the baseline is established, and the target until then. */
 #define BASELINE_ANSWERS 32
 #define INITIAL_TARGET 1.5
-/* Responses used to learn the baseline while it is suspicious. */
-#define SUSPICIOUS_ANSWERS 48
-/* A baseline is suspicious if its target would exceed this share of the goal:
+/* Responses used to learn the baseline while it is unreliable. */
+#define UNRELIABLE_ANSWERS 48
+/* A baseline is unreliable if its target would exceed this share of the goal:
  * the service is slow, or has queued from the first request on. */
-#define SUSPICIOUS_TARGET 0.9
+#define UNRELIABLE_TARGET 0.9
 /* Squared correlation above which the first responses have queued. */
 #define CORRELATION_MIN 0.25
 /* Relative rise of the baseline with each response: follows a service that has
@@ -92,9 +92,9 @@
 }
 
 static bool
-is_suspicious(const baseline_t *b)
+is_unreliable(const baseline_t *b)
 {
-    return QUEUE_FACTOR * b->median > SUSPICIOUS_TARGET;
+    return QUEUE_FACTOR * b->median > UNRELIABLE_TARGET;
 }
 
 /* Instances that start during overload see queues from their first request on.
@@ -104,7 +104,7 @@
 learn_baseline(baseline_t *b, double share, uint32_t in_flight)
 {
     correlation_add(&b->first, in_flight, share);
-    b->share = is_suspicious(b) && is_correlated(&b->first) ? b->first.least
+    b->share = is_unreliable(b) && is_correlated(&b->first) ? b->first.least
                                                             : b->median;
 }
 
@@ -117,7 +117,7 @@
     update_quantile(&b->median, 0.5, step, share);
     b->share *= 1 + rise;
     if (b->answers <= BASELINE_ANSWERS ||
-        (b->answers <= SUSPICIOUS_ANSWERS && is_suspicious(b))) {
+        (b->answers <= UNRELIABLE_ANSWERS && is_unreliable(b))) {
         learn_baseline(b, share, in_flight);
     }
     else if (b->median < b->share) {
