--- a/flow/flow.h
+++ b/flow/flow.h
@@ -183,7 +183,7 @@
             bool local;       /* applies to the upstreams in this data centre,
                                * or to those in others */
             bool in_force;    /* the limit begins */
-            uint32_t busy;    /* requests in progress */
+            uint32_t busy;    /* requests in flight */
             uint32_t most;    /* limit on BUSY */
             double slow;      /* high quantile of response times, as a share of
                                * goals */
--- a/flow/state.h
+++ b/flow/state.h
@@ -30,7 +30,7 @@
 /* ---- limit.c: adaptive concurrency limit ---- */
 
 typedef struct {
-    uint32_t in_flight;   /* requests in progress */
+    uint32_t in_flight;   /* requests in flight */
     double max_in_flight; /* 0: no limit in force */
     double tail_latency;  /* running upper quantile of the response time, as a
                            * share of the goal; 0: no sample yet */
@@ -58,7 +58,7 @@
 /* Target response time, as a share of the goal. */
 double limit_target(const baseline_t *b);
 /* Records a response that took SHARE of its request's goal; IN_FLIGHT requests
- * were in progress when the request began.  Returns true if a limit begins or
+ * were in flight when the request began.  Returns true if a limit begins or
  * ends. */
 bool limit_on_response(limit_t *l, ms_t now, baseline_t *b, double share,
                        uint32_t in_flight);
@@ -162,7 +162,7 @@
 typedef struct {
     char data_centre[FLOW_NAME_LEN];
     uint64_t ends_at; /* store revision that the upstreams must be synchronised
-                       * to; 0: the evacuation goes on */
+                       * to; 0: no end requested */
 } evacuation_t;
 
 struct flowset {
--- a/test/flow_prop_test.cc
+++ b/test/flow_prop_test.cc
@@ -3,8 +3,8 @@
  *
  *   - a new flow goes to an upstream that is announced for the route's service
  *     (or whose announcement lapsed less than two seconds ago), is not
- * draining, was not refused or silent at its last probe, and is not in an
- * evacuated data centre;
+ *     draining, whose last probe was neither refused nor timed out, and whose
+ *     data centre is not evacuated;
  *   - a flow is reset only if its upstream's host refused a probe, its address
  *     went to another upstream, or three probes timed out and the caller may
  *     repeat its request;
--- a/test/flow_test.cc
+++ b/test/flow_test.cc
@@ -872,7 +872,7 @@
 
 /* ---- Evacuations ---- */
 
-/* Guards against: an evacuation applied late or in part, which would go on
+/* Guards against: an evacuation applied late or in part, which would keep
  * sending flows to upstreams that the operator is about to take down. */
 TEST_F(Flow, AnEvacuatedDataCentreGetsNoNewFlow)
 {
