--- a/test/flow_load_test.cc
+++ b/test/flow_load_test.cc
@@ -1,6 +1,6 @@
-/* Placing new flows under load, replayed against upstreams with slots and
- * queues in virtual time.  Each test names the load, and compares with what
- * callers would get without the decision. */
+/* Tests of upstream selection under load, against simulated upstreams with
+ * slots and queues in virtual time.  Each test states the load, and compares
+ * with the result for callers without the decision under test. */
 #include "test/flow_bed.h"
 
 #include <cmath>
@@ -18,21 +18,22 @@
 struct Upstream {
     flow_upstream_t a;
     double work_ms;
-    bool deaf = false;   /* takes no opening packet, though it lives */
-    bool sheds = false;  /* refuses each request at once */
-    bool mute = false;   /* refuses so that no instance sees it */
-    bool resets = false; /* the same with an opening packet */
+    bool ignores_openings = false; /* alive, but accepts no flows */
+    bool rejects = false;          /* rejects each request at once */
+    bool rejects_unseen = false;   /* rejects requests unseen by instances */
+    bool resets_openings = false;  /* resets opening packets, unseen by
+                                    * instances */
     int running = 0;
     std::queue<int> waiting; /* requests */
     int taken = 0;
 };
 
-enum class What { OPEN, OPENED, COPY, ARRIVED, DONE, TICK };
+enum class EventKind { OPEN, OPENED, COPY, ARRIVED, DONE, TICK };
 
 struct Event {
     ms_t at;
     uint64_t order;
-    What what;
+    EventKind kind;
     int request;
     bool
     operator<(const Event &o) const
@@ -51,11 +52,11 @@
     int tries = 1;
 };
 
-/* A caller that is refused comes back twice, after some 10 ms. */
-const int TRIES = 3;
-const ms_t COME_BACK_MS = 10;
+/* A refused caller retries twice, after about 10 ms each time. */
+const int MAX_TRIES = 3;
+const ms_t RETRY_DELAY_MS = 10;
 
-/* How upstreams are chosen. */
+/* Selection policy. */
 enum class Policy { FLOWS, RANDOM };
 
 struct Load {
@@ -93,12 +94,12 @@
     }
 
     void
-    at(ms_t when, What what, int request)
+    at(ms_t when, EventKind kind, int request)
     {
-        events.push({when, order++, what, request});
+        events.push({when, order++, kind, request});
     }
 
-    /* Requests, each on a flow of its own, at so many a second. */
+    /* Adds requests, each on its own flow, at PER_S a second. */
     void
     offer(ms_t from, ms_t to, double per_s, const char *route = ROUTE)
     {
@@ -106,7 +107,7 @@
             requests.push_back(
                 {(int)rng_below(&rng, (uint32_t)instances.size()), (ms_t)t});
             requests.back().route = route;
-            at((ms_t)t, What::OPEN, (int)requests.size() - 1);
+            at((ms_t)t, EventKind::OPEN, (int)requests.size() - 1);
             t += -std::log(1 - rng_below(&rng, 1000000) / 1e6) * 1000 / per_s;
         }
     }
@@ -132,10 +133,10 @@
     {
         Request &r = requests[i];
         flow_decision_t d = bed(i).packet(FlowBed::syn(1 + i, r.route, copy));
-        if (d.verb == FLOW_RESET && r.tries < TRIES) {
+        if (d.verb == FLOW_RESET && r.tries < MAX_TRIES) {
             r.tries++;
             r.instance = (int)rng_below(&rng, (uint32_t)instances.size());
-            at(now + COME_BACK_MS, What::OPEN, i);
+            at(now + RETRY_DELAY_MS, EventKind::OPEN, i);
         }
         if (d.verb != FLOW_FORWARD) {
             return;
@@ -145,13 +146,14 @@
         if (copy == 0) {
             up[requests[i].upstream].taken++;
         }
-        if (up[requests[i].upstream].resets) {
+        if (up[requests[i].upstream].resets_openings) {
             requests[i].refused = true;
             return;
         }
-        at(now + 8, What::OPENED, i);
+        at(now + 8, EventKind::OPENED, i);
         if (copy < 2) {
-            at(requests[i].began + (copy == 0 ? 200 : 600), What::COPY, i);
+            at(requests[i].began + (copy == 0 ? 200 : 600), EventKind::COPY,
+               i);
         }
     }
 
@@ -166,7 +168,7 @@
     {
         while (u.running < (int)u.a.slots && !u.waiting.empty()) {
             u.running++;
-            at(now + 1 + (ms_t)work(u), What::DONE, u.waiting.front());
+            at(now + 1 + (ms_t)work(u), EventKind::DONE, u.waiting.front());
             u.waiting.pop();
         }
     }
@@ -176,37 +178,37 @@
     {
         Request &r = requests[e.request < 0 ? 0 : e.request];
         uint32_t tag = (uint32_t)r.upstream;
-        switch (e.what) {
-        case What::OPEN:
+        switch (e.kind) {
+        case EventKind::OPEN:
             send_opening(e.request, 0);
             break;
-        case What::COPY:
-            if (r.done < 0 && up[r.upstream].deaf) {
+        case EventKind::COPY:
+            if (r.done < 0 && up[r.upstream].ignores_openings) {
                 send_opening(e.request, now - r.began > 300 ? 2 : 1);
             }
             break;
-        case What::OPENED:
-            if (!up[r.upstream].deaf) {
+        case EventKind::OPENED:
+            if (!up[r.upstream].ignores_openings) {
                 bed(e.request).packet(
                     FlowBed::data(1 + e.request, r.route, tag, 1001, 100, 1));
-                at(now + 1, What::ARRIVED, e.request);
+                at(now + 1, EventKind::ARRIVED, e.request);
             }
             break;
-        case What::ARRIVED:
-            if (up[r.upstream].mute) {
+        case EventKind::ARRIVED:
+            if (up[r.upstream].rejects_unseen) {
                 r.refused = true;
                 break;
             }
-            if (up[r.upstream].sheds) {
+            if (up[r.upstream].rejects) {
                 r.refused = true;
-                at(now + 1, What::DONE, e.request);
+                at(now + 1, EventKind::DONE, e.request);
                 up[r.upstream].running++;
                 break;
             }
             up[r.upstream].waiting.push(e.request);
             start(up[r.upstream]);
             break;
-        case What::DONE: {
+        case EventKind::DONE: {
             flow_packet_t p =
                 FlowBed::data(1 + e.request, r.route, tag, 1101, 0, 400);
             up[r.upstream].running--;
@@ -217,13 +219,13 @@
             bed(e.request).packet(p);
             break;
         }
-        case What::TICK:
+        case EventKind::TICK:
             for (auto &i : instances) {
                 i->now = now;
                 i->tick();
-                std::vector<flow_out_t> asked;
-                asked.swap(i->probes);
-                for (const flow_out_t &q : asked) {
+                std::vector<flow_out_t> pending;
+                pending.swap(i->probes);
+                for (const flow_out_t &q : pending) {
                     i->probed(q.upstream, PROBE_ANSWERED);
                 }
             }
@@ -231,15 +233,14 @@
         }
     }
 
-    /* Goes on until UNTIL and, if so asked, until the last request has ended.
-     */
+    /* Runs until UNTIL or, if UNTIL_IDLE, until the last request has ended. */
     void
-    run(ms_t until, bool to_the_end = true)
+    run(ms_t until, bool until_idle = true)
     {
         for (ms_t t = now; t < until; t += 10) {
-            at(t, What::TICK, -1);
+            at(t, EventKind::TICK, -1);
         }
-        while (!events.empty() && (to_the_end || events.top().at < until)) {
+        while (!events.empty() && (until_idle || events.top().at < until)) {
             Event e = events.top();
             events.pop();
             now = e.at;
@@ -247,7 +248,8 @@
         }
     }
 
-    /* Of the requests of that time, the share not answered within MS. */
+    /* Share of the requests begun in [FROM, TO) that were not answered within
+     * MS. */
     double
     late(ms_t from, ms_t to, ms_t ms) const
     {
@@ -271,7 +273,7 @@
         return n;
     }
 
-    /* Answers in time to requests of that time, a second. */
+    /* Requests begun in [FROM, TO) that were answered within MS, a second. */
     double
     in_time(ms_t from, ms_t to, ms_t ms, const char *route = nullptr) const
     {
@@ -297,8 +299,8 @@
 
 } // namespace
 
-/* A burst brings 5 upstreams of 2 slots to nine tenths of what they can do.
- * By chance, some queue while others idle. */
+/* A burst loads 5 upstreams of 2 slots to nine tenths of their capacity.  With
+ * random selection, some queue while others idle. */
 TEST(Placing, InABurstFewerRequestsWaitThanByChance)
 {
     double late[2];
@@ -317,8 +319,8 @@
     EXPECT_LT(late[0], late[1] / 2);
 }
 
-/* One of five becomes five times as slow.  Its requests stay in progress, and
- * its answers take longer: it gets few new flows. */
+/* One of five upstreams becomes five times as slow.  Its requests stay in
+ * flight longer and its response time rises, so it gets few new flows. */
 TEST(Placing, ASlowUpstreamGetsFewFlows)
 {
     double late[2];
@@ -352,8 +354,8 @@
     EXPECT_GT(l.share(1), 0.02);
 }
 
-/* In calm no flow leaves the data centre: one that crosses is lost when data
- * centres lose each other. */
+/* At low load no flow leaves the data centre: flows between data centres are
+ * lost when the data centres are partitioned. */
 TEST(Placing, InCalmFlowsStayInTheirDataCentre)
 {
     Load l(2);
@@ -369,8 +371,8 @@
     }
 }
 
-/* A burst of one data centre's callers: twice what its upstreams can do, with
- * others idle next door. */
+/* A burst from one data centre's callers: 1.5 times the capacity of its
+ * upstreams, with idle upstreams in another data centre. */
 TEST(Placing, ABurstSpillsOverToAnotherDataCentre)
 {
     double late[2];
@@ -391,8 +393,9 @@
     EXPECT_LT(late[true], 0.3);
 }
 
-/* A server lives and answers probes but takes no flow.  Without a doubt that
- * a probe can settle, its unanswered openings alone must keep flows away. */
+/* A server is alive and answers probes but accepts no flows.  Probes always
+ * refute the suspicion, so its unanswered opening packets alone must keep
+ * flows away. */
 TEST(Placing, AnUpstreamThatOpensNothingGetsFewFlows)
 {
     Load l(2);
@@ -400,15 +403,15 @@
     for (uint64_t id = 1; id <= 5; id++) {
         l.add(id, "dc-a", 20);
     }
-    l.up[1].deaf = true;
+    l.up[1].ignores_openings = true;
     l.offer(0, 6000, 100);
     l.run(7000);
     EXPECT_LT(l.share(1), 0.06);
     EXPECT_LT(l.late(1000, 6000, 500), 0.02);
 }
 
-/* An upstream that refuses at once looks idle and fast.  It must not draw the
- * flows that the others would have served. */
+/* An upstream that rejects at once looks idle and fast.  It must not attract
+ * the flows that the others would have served. */
 TEST(Placing, FastRefusalsDrawNoFlows)
 {
     Load l(2);
@@ -416,14 +419,15 @@
     for (uint64_t id = 1; id <= 5; id++) {
         l.add(id, "dc-a", 40);
     }
-    l.up[1].sheds = true;
+    l.up[1].rejects = true;
     l.offer(0, 6000, 60);
     l.run(7000);
     EXPECT_LT(l.share(1), 0.35); /* a fair share is 0.20 */
 }
 
-/* Long flows ask now and then.  Placed by requests in progress alone, in calm
- * all would go to whoever is idle at that moment, often the same one. */
+/* Long flows send requests only now and then.  Selected by requests in flight
+ * alone, at low load all would go to the upstream that is idle at that moment,
+ * often the same one. */
 TEST(Placing, LongFlowsAreSpreadEvenly)
 {
     FlowBed bed;
@@ -445,28 +449,28 @@
     EXPECT_LE(most - least, 2);
 }
 
-/* ---- More than the slots can run ---- */
+/* ---- Overload ---- */
 
 namespace {
 
 const ms_t GOAL_MS = 200;
 const ms_t WINDOW_MS = 2000;
 
-/* 10 upstreams of 2 slots run some 500 requests of 40 ms a second. */
+/* 10 upstreams of 2 slots run about 500 requests of 40 ms a second. */
 const double CAPACITY = 500;
 
-/* A load of its own for each of these. */
+/* Each seed gives a different load. */
 const uint64_t SEEDS[] = {42, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
 
 void
-ten_upstreams(Load &l, double work_ms = 40)
+add_ten_upstreams(Load &l, double work_ms = 40)
 {
     for (uint64_t id = 1; id <= 10; id++) {
         l.add(id, "dc-a", work_ms);
     }
 }
 
-/* Four instances that have seen their service in calm, until 3,000 ms. */
+/* Four instances that have seen their service at low load, until 3,000 ms. */
 struct Overload : Load {
     explicit Overload(uint64_t seed, ms_t goal_ms = GOAL_MS, int n = 4)
         : Load(n, goal_ms)
@@ -483,17 +487,16 @@
 
 } // namespace
 
-/* Twice what the slots can run, for eight seconds.  Every queue grows and all
- * answers are late, though all slots are busy.  What can't be served is
- * refused at once; of what the slots can run, 0.85 is answered in time in each
- * second.
+/* Twice the capacity for eight seconds.  Without a limit, every queue grows
+ * and all responses are late although all slots are busy.  The excess must be
+ * refused at once, and 0.85 of the capacity answered in time in each second.
  */
 TEST(Overload, WhatTheSlotsCanRunIsAnsweredInTime)
 {
     for (uint64_t seed : SEEDS) {
         for (int n_instances : {2, 8}) {
             Overload l(seed, GOAL_MS, n_instances);
-            ten_upstreams(l);
+            add_ten_upstreams(l);
             l.calm();
             l.offer(3000, 11000, 2 * CAPACITY);
             l.run(15000);
@@ -510,25 +513,25 @@
     }
 }
 
-/* The same without goals, and so without a limit. */
+/* The same without goals, and therefore without a limit. */
 TEST(Overload, WithoutALimitHardlyAnyAnswerIsInTime)
 {
     Overload l(42, 0);
 
-    ten_upstreams(l);
+    add_ten_upstreams(l);
     l.calm();
     l.offer(3000, 11000, 2 * CAPACITY);
     l.run(15000);
     EXPECT_LT(l.in_time(5000, 11000, GOAL_MS), 0.2 * CAPACITY);
 }
 
-/* The same for instances that start into it, as after a loss of power: none
- * has ever seen what an answer takes with slots free. */
+/* The same for instances that start during overload, as after a power failure:
+ * none has ever seen the response time with free slots. */
 TEST(Overload, InstancesThatStartIntoItKeepAnswersInTime)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.offer(0, 8000, 2 * CAPACITY);
         l.run(10000);
         EXPECT_GE(l.in_time(2000, 8000, GOAL_MS), 0.85 * CAPACITY)
@@ -536,9 +539,9 @@
     }
 }
 
-/* Up to four fifths of what the slots can run, with the chance bursts of
- * independent callers: no request is refused for load.  At four fifths chance
- * makes queues for moments; one load of that size stands for them. */
+/* Up to four fifths of the capacity, with the random bursts of independent
+ * callers: no request is refused for overload.  At four fifths, chance makes
+ * short queues; a single load of that size is tested. */
 TEST(Overload, NothingIsRefusedWhileSlotsAreFree)
 {
     for (uint64_t seed : SEEDS) {
@@ -547,7 +550,7 @@
                 continue;
             }
             Overload l(seed);
-            ten_upstreams(l);
+            add_ten_upstreams(l);
             l.offer(0, 20000, load * CAPACITY);
             l.run(22000);
             EXPECT_EQ(l.refusals(), 0u) << "seed " << seed << " at " << load;
@@ -555,20 +558,21 @@
     }
 }
 
-/* A service that takes most of the goal by itself: its answers are slow with
- * free slots, and refusing would serve nobody. */
+/* The service time alone takes most of the goal: responses are slow with free
+ * slots, and refusing requests would help no caller. */
 TEST(Overload, ASlowServiceWithoutQueuesRefusesNothing)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed, 60);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.offer(0, 20000, 0.5 * CAPACITY);
         l.run(22000);
         EXPECT_EQ(l.refusals(), 0u) << "seed " << seed;
     }
 }
 
-/* Some upstreams become five times as slow.  The others have free slots. */
+/* Some upstreams become five times as slow while the others have free slots.
+ */
 TEST(Overload, SlowUpstreamsAmongOthersRefuseNothing)
 {
     for (uint64_t seed : SEEDS) {
@@ -582,29 +586,29 @@
     }
 }
 
-/* After the load has gone, nothing is refused any more, be the work a fifth or
- * two fifths of the goal. */
+/* After the overload, no more requests are refused, whether the service time
+ * is a fifth or two fifths of the goal. */
 TEST(Overload, TheLimitEndsWithTheLoad)
 {
     const std::pair<double, int> cases[] = {{40, 4}, {80, 4}, {40, 12}};
 
     for (uint64_t seed : SEEDS) {
-        for (const auto &c : cases) { /* work in ms, instances */
+        for (const auto &c : cases) { /* service time in ms, instances */
             double work_ms = c.first;
             Overload l(seed, GOAL_MS, c.second);
             double capacity = CAPACITY * 40 / work_ms;
-            uint64_t then;
-            ten_upstreams(l, work_ms);
+            uint64_t refused_before;
+            add_ten_upstreams(l, work_ms);
             l.calm(capacity);
             l.offer(3000, 6000, 2 * capacity);
             l.run(7000);
-            then = l.refusals();
-            EXPECT_GT(then, 0u);
+            refused_before = l.refusals();
+            EXPECT_GT(refused_before, 0u);
             l.offer(7000, 27000, 0.6 * capacity);
             l.run(28000);
-            EXPECT_EQ(l.refusals(), then)
+            EXPECT_EQ(l.refusals(), refused_before)
                 << "seed " << seed << " work " << work_ms;
-            for (const auto &i : l.instances) { /* told for the log */
+            for (const auto &i : l.instances) { /* emitted for the log */
                 ASSERT_GE(i->limits.size(), 2u);
                 EXPECT_TRUE(i->limits.front().limit.in_force);
                 EXPECT_FALSE(i->limits.back().limit.in_force);
@@ -615,14 +619,14 @@
 
 namespace {
 
-/* From 3,000 ms on FAULT holds for three of ten upstreams, and callers ask for
- * twice what ten can run: the seven others must be used. */
+/* From 3,000 ms on three of ten upstreams have FAULT, and callers offer twice
+ * the capacity of ten: the seven others must be fully used. */
 void
-seven_are_used(bool Upstream::*fault)
+expect_healthy_used(bool Upstream::*fault)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.calm();
         l.run(3000);
         for (uint64_t id = 1; id <= 3; id++) {
@@ -637,33 +641,31 @@
 
 } // namespace
 
-/* Three of ten upstreams have too many connections and reset what comes: their
- * callers leave, and instances see nothing.  What was sent there must not
- * stand for requests in progress, or it keeps others from the seven that have
- * slots.
- */
+/* Three of ten upstreams have too many connections and reset opening packets:
+ * their callers leave, unseen by instances.  These openings must not count as
+ * requests in flight, or they keep others from the seven with free slots. */
 TEST(Overload, OpeningsThatAreResetTakeNoPlace)
 {
-    seven_are_used(&Upstream::resets);
+    expect_healthy_used(&Upstream::resets_openings);
 }
 
-/* Three of ten upstreams refuse what comes by short answers that their callers
- * never acknowledge.  The same, with requests in place of openings. */
+/* The same with requests instead of openings: three of ten upstreams reject
+ * requests by short responses that their callers never acknowledge. */
 TEST(Overload, RefusalsThatNobodySeesTakeNoPlace)
 {
-    seven_are_used(&Upstream::mute);
+    expect_healthy_used(&Upstream::rejects_unseen);
 }
 
-/* A copy of an opening packet comes to an instance whose limit is reached. The
- * first may have opened the flow through another: a reset would end it, and
- * silence would leave the caller waiting. */
+/* A copy of an opening packet arrives at an instance whose limit is reached.
+ * The first one may have opened the flow through another instance: a reset
+ * would end it, and a drop would leave the caller waiting. */
 TEST(Overload, ACopyIsNotRefused)
 {
     Overload l(42);
     FlowBed *full;
     int caller = 60000;
 
-    ten_upstreams(l);
+    add_ten_upstreams(l);
     l.calm();
     l.offer(3000, 5000, 2 * CAPACITY);
     l.run(5000, false);
@@ -675,13 +677,14 @@
     EXPECT_EQ(full->packet(FlowBed::syn(60300, ROUTE, 1)).verb, FLOW_FORWARD);
 }
 
-/* The callers of one data centre ask for twice what its upstreams can run,
- * with as many idle next door: the excess goes there. */
+/* The callers of one data centre offer 1.6 times the capacity of its
+ * upstreams, with as many idle upstreams in another data centre: the excess
+ * goes there. */
 TEST(Overload, AFullDataCentreSendsTheExcessToAnother)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         for (uint64_t id = 11; id <= 20; id++) {
             l.add(id, "dc-b", 40);
         }
@@ -692,13 +695,13 @@
     }
 }
 
-/* One request in five is urgent.  At twice what the slots can run, those are
+/* One request in five is urgent.  At twice the capacity, urgent requests are
  * refused last. */
 TEST(Overload, UrgentRequestsAreRefusedLast)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
-        ten_upstreams(l);
+        add_ten_upstreams(l);
         l.calm();
         l.offer(3000, 11000, 1.6 * CAPACITY);
         l.offer(3000, 11000, 0.4 * CAPACITY, URGENT);
