--- a/bench/member_bench.c
+++ b/bench/member_bench.c
@@ -253,7 +253,7 @@
     }
     k = members_list(source->m, &list);
     for (size_t i = 0; i < k; i++) {
-        if (is_live(&list[i])) {
+        if (is_alive(&list[i])) {
             members_learn(n->m, fleet.now, &list[i]);
         }
     }
@@ -386,7 +386,7 @@
     for (int i = 0; i < fleet.n; i++) {
         const members_t *m = fleet.node[i].m;
         const member_t *r = m != NULL ? members_find(m, id) : NULL;
-        count += r != NULL && !is_live(r);
+        count += r != NULL && !is_alive(r);
     }
     return count;
 }
--- a/member/body.c
+++ b/member/body.c
@@ -32,7 +32,7 @@
 }
 
 static int
-put_life(msgpack_packer *pk, const member_t *m)
+put_state(msgpack_packer *pk, const member_t *m)
 {
     return msgpack_pack_uint32(pk, m->incarnation) |
            msgpack_pack_uint32(pk, m->revision) |
@@ -62,12 +62,12 @@
     bad |= msgpack_pack_uint8(&pk, BODY_VERSION);
     bad |= msgpack_pack_uint8(&pk, (uint8_t)h->kind);
     bad |= msgpack_pack_uint32(&pk, h->seq);
-    bad |= put_life(&pk, &h->sender);
+    bad |= put_state(&pk, &h->sender);
     bad |= msgpack_pack_uint64(&pk, h->sender.version);
     bad |= msgpack_pack_uint64(&pk, h->hash);
-    bad |= msgpack_pack_uint32(&pk, h->live);
+    bad |= msgpack_pack_uint32(&pk, h->alive);
     bad |= msgpack_pack_uint64(&pk, h->echo.id);
-    bad |= put_life(&pk, &h->echo);
+    bad |= put_state(&pk, &h->echo);
     bad |= msgpack_pack_uint64(&pk, h->target);
     return bad ? -ENOSPC : 0;
 }
@@ -89,7 +89,7 @@
     msgpack_packer_init(&pk, b, body_write);
     bad |= msgpack_pack_uint8(&pk, full ? RECORD_FULL : RECORD_BRIEF);
     bad |= msgpack_pack_uint64(&pk, m->id);
-    bad |= put_life(&pk, m);
+    bad |= put_state(&pk, m);
     bad |= msgpack_pack_uint64(&pk, m->version);
     if (full) {
         bad |= put_full(&pk, m);
@@ -143,7 +143,7 @@
 }
 
 static void
-get_life(reader_t *r, member_t *m)
+get_state(reader_t *r, member_t *m)
 {
     uint64_t state;
 
@@ -193,14 +193,14 @@
         r->bad = true;
         return;
     }
-    h->kind = (msg_kind_t)get_uint(r, MSG_ACK_FOR);
+    h->kind = (msg_kind_t)get_uint(r, MSG_INDIRECT_ACK);
     h->seq = (uint32_t)get_uint(r, UINT32_MAX);
-    get_life(r, &h->sender);
+    get_state(r, &h->sender);
     h->sender.version = get_uint(r, UINT64_MAX);
     h->hash = get_uint(r, UINT64_MAX);
-    h->live = (uint32_t)get_uint(r, UINT32_MAX);
+    h->alive = (uint32_t)get_uint(r, UINT32_MAX);
     h->echo.id = get_uint(r, UINT64_MAX);
-    get_life(r, &h->echo);
+    get_state(r, &h->echo);
     h->target = get_uint(r, UINT64_MAX);
     if (h->kind < MSG_PING || h->sender.incarnation == 0) {
         r->bad = true;
@@ -214,7 +214,7 @@
 
     rec->full = get_uint(r, RECORD_FULL) == RECORD_FULL;
     m->id = get_uint(r, UINT64_MAX);
-    get_life(r, m);
+    get_state(r, m);
     m->version = get_uint(r, UINT64_MAX);
     if (rec->full) {
         get_text(r, m->name);
--- a/member/internal.h
+++ b/member/internal.h
@@ -6,12 +6,13 @@
 
 #include "member/member.h"
 
-#define PROBES_MAX 64   /* pings in progress */
-#define RELAYS_MAX 32   /* pings made for others */
-#define GOSSIP_MAX 40   /* most times that a change is sent on */
-#define RECORDS_MAX 64  /* member records read from one message */
-#define RECORDS_BULK 40 /* records written when many changes wait */
-#define FIXES_MAX 4     /* outdated records of a sender put right at once */
+#define PROBES_MAX 64     /* pings in progress */
+#define RELAYS_MAX 32     /* pings made for others */
+#define GOSSIP_MAX 40     /* most times that a change is sent on */
+#define RECORDS_MAX 64    /* member records read from one message */
+#define RECORDS_BULK 40   /* records written when many changes wait */
+#define CORRECTIONS_MAX 4 /* outdated records of a sender put right at once   \
+                           */
 #define INCARNATION_MAX 0xFFFF0000u /* a reader refuses more: no overflow */
 
 /* ---- Message bodies ---- */
@@ -19,8 +20,8 @@
 typedef enum {
     MSG_PING = 1,
     MSG_ACK,
-    MSG_PING_FOR, /* "ping TARGET for me" */
-    MSG_ACK_FOR   /* "TARGET has answered" */
+    MSG_PING_REQ,    /* "ping TARGET for me" */
+    MSG_INDIRECT_ACK /* "TARGET has answered" */
 } msg_kind_t;
 
 /* What one instance says of another.  FULL records carry the name, data
@@ -33,10 +34,10 @@
 typedef struct {
     msg_kind_t kind;
     uint32_t seq;
-    uint64_t target; /* of MSG_PING_FOR and MSG_ACK_FOR */
+    uint64_t target; /* of MSG_PING_REQ and MSG_INDIRECT_ACK */
     member_t sender; /* id is not sent: the envelope names the sender */
     uint64_t hash;   /* of the sender's version in force */
-    uint32_t live;   /* members that the sender holds to be live */
+    uint32_t alive;  /* members that the sender holds to be live */
     member_t echo;   /* the receiver (ID and life), as the sender knows it */
 } msg_head_t;
 
@@ -60,30 +61,30 @@
     uint64_t id;
     uint32_t index; /* of its record in members_t.list */
     uint32_t acked_incarnation, acked_revision; /* of self, as it knows it */
-    uint32_t live; /* members that it holds to be live */
-    uint8_t sent;  /* times that its last change was passed on */
-    ms_t heard_at;
-    ms_t born_at;     /* its incarnation was first heard of */
-    ms_t off_list_at; /* first seen missing from the platform's list */
+    uint32_t alive; /* members that it holds to be live */
+    uint8_t sent;   /* times that its last change was passed on */
+    ms_t last_heartbeat;
+    ms_t incarnation_seen_at; /* its incarnation was first heard of */
+    ms_t unlisted_at;         /* first seen missing from the platform's list */
     uint64_t list_round;
     uint64_t msg_no; /* last message that carries its record */
-    uint64_t asked_version;
-    ms_t asked_at;
-    link_t gossip; /* in members_t.gossip[sent] */
-    link_t silent; /* in members_t.silent while SUSPECT or GONE unheard */
+    uint64_t requested_version;
+    ms_t requested_at;
+    link_t gossip;      /* in members_t.gossip[sent] */
+    link_t unreachable; /* in members_t.silent while SUSPECT or GONE unheard */
 } peer_t;
 
 typedef struct {
     peer_t *peer; /* NULL: free */
     uint32_t seq;
     ms_t sent_at;
-    int rounds; /* times that others were asked */
+    int retries; /* times that others were asked */
 } probe_t;
 
 typedef struct {
     uint32_t seq;
-    uint32_t asker_seq;
-    uint64_t asker;
+    uint32_t requester_seq;
+    uint64_t requester;
     uint64_t target;
 } relay_t;
 
@@ -97,18 +98,18 @@
     peer_t **peer;  /* the same order */
     peer_t **order; /* the order of pings: shuffled */
     size_t n, cap;
-    size_t order_next, spread_next, fill_next;
+    size_t order_next, spread_next, anti_entropy_next;
     uint64_t self_id;
     peer_t *self;
     uint64_t self_hash;
-    uint32_t told_live; /* live members by the last message */
+    uint32_t reported_alive; /* live members by the last message */
 
     link_t gossip[GOSSIP_MAX]; /* by times sent */
     size_t gossip_n;
-    link_t silent;
+    link_t unreachable;
     uint64_t msg_no;
-    peer_t *fix[FIXES_MAX];
-    int n_fix;
+    peer_t *corrections[CORRECTIONS_MAX];
+    int n_corrections;
 
     probe_t probe[PROBES_MAX];
     relay_t relay[RELAYS_MAX];
@@ -119,7 +120,7 @@
     ms_t last_tick, next_ping, next_sweep;
     ms_t spread_until; /* self's state is news until then */
     uint64_t pings;
-    ms_t doubt_at;
+    ms_t uncertain_at;
     uint64_t lowest; /* see members_lowest_version() */
     bool lowest_stale;
     uint64_t fetch_version;
@@ -148,13 +149,13 @@
 }
 
 static inline bool
-is_live(const member_t *r)
+is_alive(const member_t *r)
 {
     return r->state != MEMBER_SUSPECT && r->state != MEMBER_GONE;
 }
 
 static inline uint32_t
-live_count(const members_t *m)
+alive_count(const members_t *m)
 {
     const uint32_t *count = m->stats.count;
 
--- a/member/members.c
+++ b/member/members.c
@@ -7,15 +7,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SILENT_EVERY 5      /* pings between two of a silent member */
-#define FILL_EVERY 4        /* pings between two with a record unasked for */
-#define SPREAD_PER_PERIOD 8 /* extra pings while self's state is news */
-#define SPREAD_LOOK 64      /* members looked at for those */
-#define VERSION_FANOUT 3    /* extra pings when a version comes in force */
-#define PICK_TRIES 8        /* for a random live member */
-#define SWEEP_MS 60000      /* between looks for members to forget */
-#define FETCH_RETRY_MS 1000 /* no progress: another peer is asked */
-#define FETCH_AGAIN_MS 5000 /* and then the same one again */
+#define UNREACHABLE_EVERY 5  /* pings between two of a silent member */
+#define ANTI_ENTROPY_EVERY 4 /* pings between two with a record unasked for   \
+                              */
+#define SPREAD_PER_PERIOD 8  /* extra pings while self's state is news */
+#define SPREAD_SCAN_MAX 64   /* members looked at for those */
+#define VERSION_FANOUT 3     /* extra pings when a version comes in force */
+#define PICK_TRIES 8         /* for a random live member */
+#define SWEEP_MS 60000       /* between looks for members to forget */
+#define FETCH_RETRY_MS 1000  /* no progress: another peer is asked */
+#define FETCH_SAME_PEER_MS 5000 /* and then the same one again */
 
 /* ---- Sending ---- */
 
@@ -42,21 +43,21 @@
 /* Records unasked for: one on some pings, so that what gossip has missed is
  * mended in time; more for a newcomer that knows fewer members. */
 static int
-fillers(const members_t *m, const peer_t *to, msg_kind_t kind)
+anti_entropy_records(const members_t *m, const peer_t *to, msg_kind_t kind)
 {
-    if (rec_of(m, to)->state == MEMBER_JOINING && to->live < live_count(m)) {
+    if (rec_of(m, to)->state == MEMBER_JOINING && to->alive < alive_count(m)) {
         return m->params.gossip_per_msg;
     }
-    return kind == MSG_PING && m->pings % FILL_EVERY == 0 ? 1 : 0;
+    return kind == MSG_PING && m->pings % ANTI_ENTROPY_EVERY == 0 ? 1 : 0;
 }
 
 static void
-put_filler(members_t *m, body_t *b)
+put_anti_entropy_record(members_t *m, body_t *b)
 {
     peer_t *p;
 
-    m->fill_next = (m->fill_next + 1) % m->n;
-    p = m->peer[m->fill_next];
+    m->anti_entropy_next = (m->anti_entropy_next + 1) % m->n;
+    p = m->peer[m->anti_entropy_next];
     if (p->msg_no != m->msg_no) {
         p->msg_no = m->msg_no;
         body_record(b, rec_of(m, p), true);
@@ -64,12 +65,12 @@
 }
 
 static void
-put_fixes(members_t *m, body_t *b)
+put_corrections(members_t *m, body_t *b)
 {
-    for (int i = 0; i < m->n_fix; i++) {
-        if (m->fix[i]->msg_no != m->msg_no) {
-            m->fix[i]->msg_no = m->msg_no;
-            body_record(b, rec_of(m, m->fix[i]), false);
+    for (int i = 0; i < m->n_corrections; i++) {
+        if (m->corrections[i]->msg_no != m->msg_no) {
+            m->corrections[i]->msg_no = m->msg_no;
+            body_record(b, rec_of(m, m->corrections[i]), false);
         }
     }
 }
@@ -98,7 +99,7 @@
                        .target = target,
                        .sender = *rec_of(m, self),
                        .hash = m->self_hash,
-                       .live = live_count(m),
+                       .alive = alive_count(m),
                        .echo = *rec_of(m, to)};
 
     if (body_head(&b, &head) < 0) {
@@ -110,10 +111,10 @@
         body_record(&b, &head.sender, true);
     }
     put_target(m, &b, target);
-    put_fixes(m, &b);
+    put_corrections(m, &b);
     view_gossip(m, now, &b, to);
-    for (int i = fillers(m, to, kind); i > 0; i--) {
-        put_filler(m, &b);
+    for (int i = anti_entropy_records(m, to, kind); i > 0; i--) {
+        put_anti_entropy_record(m, &b);
     }
     emit_send(m, to, &out, b.len);
 }
@@ -126,11 +127,11 @@
 
 /* A random live member, neither self nor EXCEPT; NULL when none is found. */
 static peer_t *
-pick(members_t *m, const peer_t *except)
+pick_random(members_t *m, const peer_t *except)
 {
     for (int i = 0; i < PICK_TRIES; i++) {
         peer_t *p = m->peer[rng_below(&m->rng, (uint32_t)m->n)];
-        if (p != except && p->id != m->self_id && is_live(rec_of(m, p))) {
+        if (p != except && p->id != m->self_id && is_alive(rec_of(m, p))) {
             return p;
         }
     }
@@ -160,7 +161,7 @@
             m->order_next = 0;
         }
         p = m->order[m->order_next++];
-        if (p->id != m->self_id && is_live(rec_of(m, p))) {
+        if (p->id != m->self_id && is_alive(rec_of(m, p))) {
             return p;
         }
     }
@@ -182,16 +183,16 @@
 }
 
 static void
-ping_silent(members_t *m, ms_t now)
+ping_unreachable(members_t *m, ms_t now)
 {
     peer_t *p;
 
-    if (m->pings % SILENT_EVERY != 0 || list_empty(&m->silent)) {
+    if (m->pings % UNREACHABLE_EVERY != 0 || list_empty(&m->unreachable)) {
         return;
     }
-    p = LIST_OWNER(m->silent.next, peer_t, silent);
-    list_remove(&p->silent);
-    list_append(&m->silent, &p->silent);
+    p = LIST_OWNER(m->unreachable.next, peer_t, unreachable);
+    list_remove(&p->unreachable);
+    list_append(&m->unreachable, &p->unreachable);
     ping(m, now, p);
 }
 
@@ -205,9 +206,10 @@
     if (now >= m->spread_until && self_of(m)->state != MEMBER_JOINING) {
         return;
     }
-    for (size_t i = 0; i < m->n && i < SPREAD_LOOK && left > 0; i++) {
+    for (size_t i = 0; i < m->n && i < SPREAD_SCAN_MAX && left > 0; i++) {
         peer_t *p = m->order[m->spread_next++ % m->n];
-        if (p->id != m->self_id && is_live(rec_of(m, p)) && !has_acked(m, p)) {
+        if (p->id != m->self_id && is_alive(rec_of(m, p)) &&
+            !has_acked(m, p)) {
             ping(m, now, p);
             left--;
         }
@@ -217,14 +219,14 @@
 /* One lost datagram must not cost a member its homes: the ping is repeated,
  * and others are asked to try, each ACK_MS until the suspicion. */
 static void
-ask_round(members_t *m, ms_t now, probe_t *probe)
+retry_probe(members_t *m, ms_t now, probe_t *probe)
 {
-    probe->rounds++;
+    probe->retries++;
     send_msg(m, now, probe->peer, MSG_PING, probe->seq, 0);
     for (int i = 0; i < m->params.indirect; i++) {
-        peer_t *helper = pick(m, probe->peer);
+        peer_t *helper = pick_random(m, probe->peer);
         if (helper != NULL) {
-            send_msg(m, now, helper, MSG_PING_FOR, probe->seq,
+            send_msg(m, now, helper, MSG_PING_REQ, probe->seq,
                      probe->peer->id);
         }
     }
@@ -233,7 +235,7 @@
 static void
 suspect(members_t *m, ms_t now, peer_t *p)
 {
-    if (is_live(rec_of(m, p))) {
+    if (is_alive(rec_of(m, p))) {
         m->stats.suspected++;
         view_set_state(m, now, p, MEMBER_SUSPECT);
     }
@@ -247,15 +249,15 @@
     if (probe->peer == NULL) {
         return;
     }
-    if (probe->peer->heard_at > probe->sent_at) {
+    if (probe->peer->last_heartbeat > probe->sent_at) {
         probe->peer = NULL;
     }
     else if (age >= m->params.suspect_ms) {
         suspect(m, now, probe->peer);
         probe->peer = NULL;
     }
-    else if (age >= (probe->rounds + 1) * m->params.ack_ms) {
-        ask_round(m, now, probe);
+    else if (age >= (probe->retries + 1) * m->params.ack_ms) {
+        retry_probe(m, now, probe);
     }
 }
 
@@ -285,7 +287,7 @@
     drop_probes(m, NULL);
     m->stats.pauses++;
     if (gap >= m->params.suspect_ms) {
-        m->doubt_at = now;
+        m->uncertain_at = now;
     }
 }
 
@@ -312,7 +314,7 @@
     m->next_ping = now + m->params.period_ms;
     if (self_of(m)->state != MEMBER_GONE) {
         ping_next(m, now);
-        ping_silent(m, now);
+        ping_unreachable(m, now);
     }
     spread_self(m, now);
 }
@@ -326,7 +328,7 @@
         m->next_sweep = now + SWEEP_MS;
     }
     check_pause(m, now);
-    m->n_fix = 0;
+    m->n_corrections = 0;
     for (int i = 0; i < PROBES_MAX; i++) {
         check_probe(m, now, &m->probe[i]);
     }
@@ -354,18 +356,19 @@
     if (version <= m->fetch_version && now - m->fetch_at < FETCH_RETRY_MS) {
         return;
     }
-    if (version <= p->asked_version && now - p->asked_at < FETCH_AGAIN_MS) {
+    if (version <= p->requested_version &&
+        now - p->requested_at < FETCH_SAME_PEER_MS) {
         return;
     }
-    m->fetch_version = p->asked_version = version;
-    m->fetch_at = p->asked_at = now;
+    m->fetch_version = p->requested_version = version;
+    m->fetch_at = p->requested_at = now;
     out.fetch.from = *rec_of(m, p);
     out.fetch.version = version;
     m->emit(m->arg, &out);
 }
 
 static void
-take_echo(members_t *m, ms_t now, peer_t *p, const member_t *echo)
+apply_echo(members_t *m, ms_t now, peer_t *p, const member_t *echo)
 {
     record_t rec = {.member = *echo};
 
@@ -377,7 +380,7 @@
 }
 
 static void
-answered(members_t *m, uint32_t seq, uint64_t id)
+probe_answered(members_t *m, uint32_t seq, uint64_t id)
 {
     for (int i = 0; i < PROBES_MAX; i++) {
         probe_t *probe = &m->probe[i];
@@ -389,7 +392,8 @@
 }
 
 static void
-ping_for(members_t *m, ms_t now, const peer_t *asker, const msg_head_t *h)
+handle_ping_req(members_t *m, ms_t now, const peer_t *requester,
+                const msg_head_t *h)
 {
     peer_t *target = table_find(m, h->target);
 
@@ -398,8 +402,8 @@
     }
     ping(m, now, target);
     m->relay[m->relay_next] = (relay_t){.seq = m->seq,
-                                        .asker_seq = h->seq,
-                                        .asker = asker->id,
+                                        .requester_seq = h->seq,
+                                        .requester = requester->id,
                                         .target = target->id};
     m->relay_next = (m->relay_next + 1) % RELAYS_MAX;
 }
@@ -409,15 +413,16 @@
 {
     for (int i = 0; i < RELAYS_MAX; i++) {
         relay_t *r = &m->relay[i];
-        peer_t *asker;
-        if (r->seq != seq || r->target != from->id || r->asker == 0) {
+        peer_t *requester;
+        if (r->seq != seq || r->target != from->id || r->requester == 0) {
             continue;
         }
-        asker = table_find(m, r->asker);
-        if (asker != NULL) {
-            send_msg(m, now, asker, MSG_ACK_FOR, r->asker_seq, from->id);
+        requester = table_find(m, r->requester);
+        if (requester != NULL) {
+            send_msg(m, now, requester, MSG_INDIRECT_ACK, r->requester_seq,
+                     from->id);
         }
-        r->asker = 0;
+        r->requester = 0;
     }
 }
 
@@ -429,21 +434,21 @@
         send_msg(m, now, p, MSG_ACK, h->seq, 0);
         return;
     case MSG_ACK:
-        answered(m, h->seq, p->id);
+        probe_answered(m, h->seq, p->id);
         relay_ack(m, now, p, h->seq);
         return;
-    case MSG_PING_FOR:
-        ping_for(m, now, p, h);
+    case MSG_PING_REQ:
+        handle_ping_req(m, now, p, h);
         return;
-    case MSG_ACK_FOR:
-        answered(m, h->seq, h->target);
+    case MSG_INDIRECT_ACK:
+        probe_answered(m, h->seq, h->target);
         return;
     }
 }
 
 static peer_t *
-take_records(members_t *m, ms_t now, uint64_t from, const msg_head_t *h,
-             const record_t *rec, size_t n)
+apply_records(members_t *m, ms_t now, uint64_t from, const msg_head_t *h,
+              const record_t *rec, size_t n)
 {
     record_t sender = {.member = h->sender};
 
@@ -474,14 +479,14 @@
         m->stats.misaddressed++;
         return 0;
     }
-    m->n_fix = 0;
-    p = take_records(m, now, from, &head, rec, n);
+    m->n_corrections = 0;
+    p = apply_records(m, now, from, &head, rec, n);
     if (p == NULL) { /* unknown: it repeats itself with its addresses */
         return 0;
     }
-    p->heard_at = now;
-    p->live = m->told_live = head.live;
-    take_echo(m, now, p, &head.echo);
+    p->last_heartbeat = now;
+    p->alive = m->reported_alive = head.alive;
+    apply_echo(m, now, p, &head.echo);
     if (head.sender.version == self_of(m)->version &&
         head.hash != m->self_hash) {
         m->stats.conflicts++;
@@ -508,10 +513,10 @@
     m->emit = emit;
     m->arg = arg;
     m->self_id = self->id;
-    m->doubt_at = INT64_MIN;
+    m->uncertain_at = INT64_MIN;
     m->last_tick = MS_NEVER;
     m->seq = (uint32_t)rng_next(&m->rng);
-    list_init(&m->silent);
+    list_init(&m->unreachable);
     for (int i = 0; i < GOSSIP_MAX; i++) {
         list_init(&m->gossip[i]);
     }
@@ -557,19 +562,19 @@
 /* A suspect is confirmed by two readings of the list without it, GONE_MS
  * apart; while the list can't be read, nobody is. */
 static void
-confirm(members_t *m, ms_t now, peer_t *p)
+confirm_gone(members_t *m, ms_t now, peer_t *p)
 {
     const member_t *r = rec_of(m, p);
     ms_t gone_ms = m->params.gone_ms;
 
     if (p->list_round == m->list_round) {
-        p->off_list_at = MS_NEVER;
+        p->unlisted_at = MS_NEVER;
         return;
     }
-    if (p->off_list_at == MS_NEVER) {
-        p->off_list_at = now;
+    if (p->unlisted_at == MS_NEVER) {
+        p->unlisted_at = now;
     }
-    if (r->state == MEMBER_SUSPECT && now - p->off_list_at >= gone_ms &&
+    if (r->state == MEMBER_SUSPECT && now - p->unlisted_at >= gone_ms &&
         now - r->changed_at >= gone_ms) {
         view_set_state(m, now, p, MEMBER_GONE);
     }
@@ -586,7 +591,7 @@
         }
     }
     for (size_t i = 0; i < m->n; i++) {
-        confirm(m, now, m->peer[i]);
+        confirm_gone(m, now, m->peer[i]);
     }
 }
 
@@ -605,7 +610,7 @@
     self->left = state == MEMBER_GONE;
     self->revision++;
     view_self_changed(m, now);
-    m->n_fix = 0;
+    m->n_corrections = 0;
     spread_self(m, now);
 }
 
@@ -619,9 +624,9 @@
     }
     view_set_version(m, self, version);
     m->self_hash = hash;
-    m->n_fix = 0;
+    m->n_corrections = 0;
     for (int i = 0; i < VERSION_FANOUT; i++) {
-        peer_t *p = pick(m, NULL);
+        peer_t *p = pick_random(m, NULL);
         if (p != NULL && rec_of(m, p)->version < version) {
             ping(m, now, p);
         }
@@ -653,16 +658,16 @@
  * for the home of half of the flows; so it waits until it knows as many live
  * members as the last peer that it heard. */
 static bool
-knows_all(const members_t *m)
+knows_all_members(const members_t *m)
 {
     return self_of(m)->state != MEMBER_JOINING ||
-           live_count(m) >= m->told_live;
+           alive_count(m) >= m->reported_alive;
 }
 
 bool
 members_acked(const members_t *m)
 {
-    if (!knows_all(m)) {
+    if (!knows_all_members(m)) {
         return false;
     }
     for (size_t i = 0; i < m->n; i++) {
@@ -681,7 +686,7 @@
 ms_t
 members_doubt_at(const members_t *m, ms_t now)
 {
-    return m->stats.count[MEMBER_SUSPECT] > 0 ? now : m->doubt_at;
+    return m->stats.count[MEMBER_SUSPECT] > 0 ? now : m->uncertain_at;
 }
 
 static uint64_t
--- a/member/table.c
+++ b/member/table.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAP 16
+#define INITIAL_CAP 16
 
 /* The index of ID, or where it would stand. */
 static size_t
@@ -39,7 +39,7 @@
 static bool
 grow(members_t *m)
 {
-    size_t cap = m->cap == 0 ? FIRST_CAP : m->cap + m->cap / 2;
+    size_t cap = m->cap == 0 ? INITIAL_CAP : m->cap + m->cap / 2;
     member_t *list;
     peer_t **peers;
 
@@ -99,9 +99,9 @@
     m->n++;
     renumber(m, i);
     p->id = member->id;
-    p->off_list_at = MS_NEVER;
+    p->unlisted_at = MS_NEVER;
     list_init(&p->gossip);
-    list_init(&p->silent);
+    list_init(&p->unreachable);
     order_add(m, p);
     return p;
 }
@@ -124,7 +124,7 @@
 
     order_remove(m, p);
     list_remove(&p->gossip);
-    list_remove(&p->silent);
+    list_remove(&p->unreachable);
     m->n--;
     memmove(&m->list[i], &m->list[i + 1], (m->n - i) * sizeof(*m->list));
     memmove(&m->peer[i], &m->peer[i + 1], (m->n - i) * sizeof(*m->peer));
--- a/member/view.c
+++ b/member/view.c
@@ -5,14 +5,16 @@
 
 #include <string.h>
 
-#define FULL_MS 10000 /* a newcomer's changes go out with its addresses */
-#define BACKLOG 60    /* more changes than this wait: messages are filled */
+#define FULL_RECORD_MS                                                        \
+    10000 /* a newcomer's changes go out with its addresses */
+#define GOSSIP_BACKLOG                                                        \
+    60 /* more changes than this wait: messages are filled */
 
 /* How long self's new state is told to members that haven't confirmed it. */
 #define SPREAD_MS 3000
 
 static void
-queue(members_t *m, peer_t *p)
+queue_gossip(members_t *m, peer_t *p)
 {
     if (list_empty(&p->gossip)) {
         m->gossip_n++;
@@ -34,16 +36,16 @@
 /* Silent members are pinged now and then, so that the sides of a healed
  * partition find each other; those that said goodbye are not. */
 static void
-note_silent(members_t *m, peer_t *p)
+update_unreachable(members_t *m, peer_t *p)
 {
     const member_t *r = rec_of(m, p);
-    bool silent = !is_live(r) && !r->left;
+    bool unreachable = !is_alive(r) && !r->left;
 
-    if (!silent) {
-        list_remove(&p->silent);
+    if (!unreachable) {
+        list_remove(&p->unreachable);
     }
-    else if (list_empty(&p->silent)) {
-        list_append(&m->silent, &p->silent);
+    else if (list_empty(&p->unreachable)) {
+        list_append(&m->unreachable, &p->unreachable);
     }
 }
 
@@ -55,15 +57,15 @@
 
     if (old == MEMBER_SUSPECT || state == MEMBER_SUSPECT ||
         (state == MEMBER_GONE && !r->left)) {
-        m->doubt_at = now;
+        m->uncertain_at = now;
     }
     m->stats.count[old]--;
     m->stats.count[state]++;
     r->state = state;
     r->changed_at = now;
     m->lowest_stale = true;
-    note_silent(m, p);
-    queue(m, p);
+    update_unreachable(m, p);
+    queue_gossip(m, p);
     emit_change(m, p);
 }
 
@@ -85,7 +87,7 @@
 {
     m->spread_until = now + SPREAD_MS;
     self_of(m)->changed_at = now;
-    queue(m, m->self);
+    queue_gossip(m, m->self);
 }
 
 peer_t *
@@ -96,7 +98,7 @@
     if (p == NULL) {
         return NULL;
     }
-    p->born_at = now;
+    p->incarnation_seen_at = now;
     m->stats.count[member->state]++;
     view_set_state(m, now, p, member->state);
     return p;
@@ -105,7 +107,7 @@
 /* Of statements about one revision, a suspicion overrides its owner's word,
  * and a confirmed end overrides a suspicion. */
 static int
-rank(const member_t *r)
+state_precedence(const member_t *r)
 {
     if (r->state == MEMBER_SUSPECT) {
         return 1;
@@ -123,36 +125,36 @@
     if (a->revision != b->revision) {
         return a->revision > b->revision ? 1 : -1;
     }
-    return rank(a) - rank(b);
+    return state_precedence(a) - state_precedence(b);
 }
 
 /* Others' word about self: a suspicion is refuted, and what they keep of an
  * earlier life (the clock may have gone back between the two) is superseded.
  */
 static void
-about_self(members_t *m, ms_t now, const member_t *said)
+apply_self_record(members_t *m, ms_t now, const member_t *reported)
 {
     member_t *self = self_of(m);
-    int cmp = compare(said, self);
+    int cmp = compare(reported, self);
 
     if (cmp <= 0 || self->state == MEMBER_GONE) {
         return;
     }
-    if (said->incarnation == self->incarnation &&
-        said->revision == self->revision) {
+    if (reported->incarnation == self->incarnation &&
+        reported->revision == self->revision) {
         self->revision++;
         m->stats.refuted++;
-        m->doubt_at = now;
+        m->uncertain_at = now;
     }
     else {
-        self->incarnation = said->incarnation + 1;
+        self->incarnation = reported->incarnation + 1;
         self->revision = 0;
     }
     view_self_changed(m, now);
 }
 
 static void
-copy_place(member_t *to, const member_t *from)
+copy_addresses(member_t *to, const member_t *from)
 {
     memcpy(to->name, from->name, sizeof(to->name));
     memcpy(to->data_centre, from->data_centre, sizeof(to->data_centre));
@@ -163,75 +165,75 @@
 /* The instance was started again: nothing of its earlier life holds.  When
  * that ended without leaving, what it alone knew is lost: doubt. */
 static void
-new_life(members_t *m, ms_t now, peer_t *p, const member_t *said)
+new_incarnation(members_t *m, ms_t now, peer_t *p, const member_t *reported)
 {
     member_t *r = rec_of(m, p);
 
     if (r->state != MEMBER_GONE && r->state != MEMBER_JOINING) {
-        m->doubt_at = now;
+        m->uncertain_at = now;
     }
-    r->version = said->version;
-    p->born_at = now;
+    r->version = reported->version;
+    p->incarnation_seen_at = now;
     p->acked_incarnation = 0;
-    p->asked_version = 0;
+    p->requested_version = 0;
 }
 
 static void
 supersede(members_t *m, ms_t now, peer_t *p, const record_t *rec)
 {
-    const member_t *said = &rec->member;
+    const member_t *reported = &rec->member;
     member_t *r = rec_of(m, p);
-    bool reborn = said->incarnation != r->incarnation;
+    bool restarted = reported->incarnation != r->incarnation;
 
-    if (reborn) {
-        new_life(m, now, p, said);
+    if (restarted) {
+        new_incarnation(m, now, p, reported);
     }
     if (rec->full) {
-        copy_place(r, said);
+        copy_addresses(r, reported);
     }
-    r->incarnation = said->incarnation;
-    r->revision = said->revision;
-    r->left = said->left;
-    if (reborn || said->state != r->state) {
-        view_set_state(m, now, p, said->state);
+    r->incarnation = reported->incarnation;
+    r->revision = reported->revision;
+    r->left = reported->left;
+    if (restarted || reported->state != r->state) {
+        view_set_state(m, now, p, reported->state);
     }
     else {
-        queue(m, p);
+        queue_gossip(m, p);
     }
 }
 
 static void
-remember_fix(members_t *m, peer_t *p)
+add_correction(members_t *m, peer_t *p)
 {
-    if (m->n_fix < FIXES_MAX) {
-        m->fix[m->n_fix++] = p;
+    if (m->n_corrections < CORRECTIONS_MAX) {
+        m->corrections[m->n_corrections++] = p;
     }
 }
 
 peer_t *
 view_apply(members_t *m, ms_t now, const record_t *rec)
 {
-    const member_t *said = &rec->member;
-    peer_t *p = table_find(m, said->id);
+    const member_t *reported = &rec->member;
+    peer_t *p = table_find(m, reported->id);
     int cmp;
 
-    if (said->id == m->self_id) {
-        about_self(m, now, said);
+    if (reported->id == m->self_id) {
+        apply_self_record(m, now, reported);
         return p;
     }
     if (p == NULL) {
-        bool wanted = rec->full && said->state != MEMBER_GONE;
-        return wanted ? view_add(m, now, said) : NULL;
+        bool wanted = rec->full && reported->state != MEMBER_GONE;
+        return wanted ? view_add(m, now, reported) : NULL;
     }
-    cmp = compare(said, rec_of(m, p));
+    cmp = compare(reported, rec_of(m, p));
     if (cmp > 0) {
         supersede(m, now, p, rec);
     }
     else if (cmp < 0) {
-        remember_fix(m, p);
+        add_correction(m, p);
     }
-    if (said->incarnation == rec_of(m, p)->incarnation) {
-        view_set_version(m, rec_of(m, p), said->version);
+    if (reported->incarnation == rec_of(m, p)->incarnation) {
+        view_set_version(m, rec_of(m, p), reported->version);
     }
     return p;
 }
@@ -247,9 +249,9 @@
 }
 
 static bool
-put(members_t *m, ms_t now, body_t *b, peer_t *p)
+put_record(members_t *m, ms_t now, body_t *b, peer_t *p)
 {
-    bool full = now - p->born_at < FULL_MS;
+    bool full = now - p->incarnation_seen_at < FULL_RECORD_MS;
 
     if (body_record(b, rec_of(m, p), full) < 0) {
         return false;
@@ -259,7 +261,7 @@
 }
 
 static void
-passed_on(members_t *m, peer_t *p, int limit)
+requeue_gossip(members_t *m, peer_t *p, int limit)
 {
     list_remove(&p->gossip);
     p->sent++;
@@ -273,7 +275,8 @@
 void
 view_gossip(members_t *m, ms_t now, body_t *b, const peer_t *to)
 {
-    int room = m->gossip_n > BACKLOG ? RECORDS_BULK : m->params.gossip_per_msg;
+    int room =
+        m->gossip_n > GOSSIP_BACKLOG ? RECORDS_BULK : m->params.gossip_per_msg;
     int limit = gossip_limit(m);
 
     for (int i = 0; i < limit; i++) {
@@ -282,10 +285,10 @@
             if (p == to || p->msg_no == m->msg_no) {
                 continue;
             }
-            if (room-- == 0 || !put(m, now, b, p)) {
+            if (room-- == 0 || !put_record(m, now, b, p)) {
                 return;
             }
-            passed_on(m, p, limit);
+            requeue_gossip(m, p, limit);
         }
     }
 }
