--- a/member/internal.h
+++ b/member/internal.h
@@ -6,13 +6,14 @@
 
 #include "member/member.h"
 
-#define PROBES_MAX 64     /* pings in progress */
-#define RELAYS_MAX 32     /* pings made for others */
-#define GOSSIP_MAX 40     /* most times that a change is sent on */
-#define RECORDS_MAX 64    /* member records read from one message */
-#define RECORDS_BULK 40   /* records written when many changes wait */
-#define CORRECTIONS_MAX 4 /* outdated records of a sender put right at once   \
-                           */
+#define PROBES_MAX 64   /* pings in progress */
+#define RELAYS_MAX 32   /* pings made for others */
+#define GOSSIP_MAX 40   /* most times that a change is sent on */
+#define RECORDS_MAX 64  /* member records read from one message */
+#define RECORDS_BULK 40 /* records written when many changes wait */
+#define CORRECTIONS_MAX                                                       \
+    4 /* outdated records of a sender put right at once                       \
+       */
 #define INCARNATION_MAX 0xFFFF0000u /* a reader refuses more: no overflow */
 
 /* ---- Message bodies ---- */
--- a/member/members.c
+++ b/member/members.c
@@ -7,15 +7,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNREACHABLE_EVERY 5  /* pings between two of a silent member */
-#define ANTI_ENTROPY_EVERY 4 /* pings between two with a record unasked for   \
-                              */
-#define SPREAD_PER_PERIOD 8  /* extra pings while self's state is news */
-#define SPREAD_SCAN_MAX 64   /* members looked at for those */
-#define VERSION_FANOUT 3     /* extra pings when a version comes in force */
-#define PICK_TRIES 8         /* for a random live member */
-#define SWEEP_MS 60000       /* between looks for members to forget */
-#define FETCH_RETRY_MS 1000  /* no progress: another peer is asked */
+#define UNREACHABLE_EVERY 5 /* pings between two of a silent member */
+#define ANTI_ENTROPY_EVERY                                                    \
+    4                       /* pings between two with a record unasked for    \
+                             */
+#define SPREAD_PER_PERIOD 8 /* extra pings while self's state is news */
+#define SPREAD_SCAN_MAX 64  /* members looked at for those */
+#define VERSION_FANOUT 3    /* extra pings when a version comes in force */
+#define PICK_TRIES 8        /* for a random live member */
+#define SWEEP_MS 60000      /* between looks for members to forget */
+#define FETCH_RETRY_MS 1000 /* no progress: another peer is asked */
 #define FETCH_SAME_PEER_MS 5000 /* and then the same one again */
 
 /* ---- Sending ---- */
--- a/source/followers.c
+++ b/source/followers.c
@@ -3,7 +3,7 @@
 
 /* A follower asks at least once a second; one that is silent for this time has
  * gone, or follows another. */
-#define PLACE_MS 2000
+#define FOLLOWER_TIMEOUT_MS 2000
 
 void
 followers_init(followers_t *f, uint32_t most, uint64_t seed)
@@ -25,7 +25,7 @@
 }
 
 static follower_t *
-place_of(followers_t *f, const addr_t *from)
+find_follower(followers_t *f, const addr_t *from)
 {
     for (uint32_t i = 0; i < f->n; i++) {
         if (addr_eq(&f->follower[i].addr, from)) {
@@ -38,18 +38,19 @@
 bool
 followers_take(followers_t *f, ms_t now, const addr_t *from, addr_t *instead)
 {
-    follower_t *place;
+    follower_t *follower;
 
     expire(f, now);
-    place = place_of(f, from);
-    if (place == NULL && f->n == f->most) {
+    follower = find_follower(f, from);
+    if (follower == NULL && f->n == f->most) {
         *instead = f->follower[rng_below(&f->rng, f->n)].addr;
         return false;
     }
-    if (place == NULL) {
-        place = &f->follower[f->n++];
+    if (follower == NULL) {
+        follower = &f->follower[f->n++];
     }
-    *place = (follower_t){.addr = *from, .until = now + PLACE_MS};
+    *follower =
+        (follower_t){.addr = *from, .until = now + FOLLOWER_TIMEOUT_MS};
     return true;
 }
 
--- a/source/source.c
+++ b/source/source.c
@@ -6,24 +6,24 @@
 
 /* Backoff of a failed peer: exponential.  The first is short: most failures
  * are restarts, which take a second or two. */
-#define FAILED_MIN_MS 1500
-#define FAILED_MAX_MS 12000
+#define FAILURE_BACKOFF_MIN_MS 1500
+#define FAILURE_BACKOFF_MAX_MS 12000
 /* Delay before an instance that starts reads a long list itself, with jitter:
  * its peers may have it by then, and those whose peers are all down must not
  * read it all at once. */
 #define RESYNC_DELAY_MIN_MS 800
-#define RESYNC_SPREAD_MS 800
+#define RESYNC_JITTER_MS 800
 
 /* Instances that start together wait for times that differ before they
  * announce themselves: by then they see that enough others are announced. */
-#define ANNOUNCE_SPREAD_MS 8000
+#define ANNOUNCE_JITTER_MS 8000
 /* Those with slower links wait longer, by a part of the spread: the announced
  * ones hand the list to all others when all start together. */
 #define FAST_LINK_MBPS 100
-#define SLOW_LINK_WAIT_MS (ANNOUNCE_SPREAD_MS / 2)
+#define SLOW_LINK_DELAY_MS (ANNOUNCE_JITTER_MS / 2)
 
 /* Seeds are known to all from the start, and are the first. */
-#define SEED_SPREAD_MS 500
+#define SEED_JITTER_MS 500
 
 /* Hop limit: leaders may briefly follow each other during a change.  With
  * places for 32 followers, a tree of three levels holds 32,768 instances. */
@@ -33,15 +33,15 @@
  * found out by those that ask the other. */
 #define WATCHERS 2
 /* How long a leader follows the store after a watcher has failed it. */
-#define WATCH_MS 6000
+#define DIRECT_WATCH_MS 6000
 
 /* Period of the questions to peers other than the followed one: short enough
  * that a peer that doesn't answer and a second question fit a change's time.
  */
-#define CHECK_MS 700
+#define CHECK_PERIOD_MS 700
 /* One that follows a relay leaves it to the relay, mostly: the announced ones
  * would be asked by all of the data centre, each time. */
-#define CHECK_RELAYED_MS (8 * CHECK_MS)
+#define CHECK_PERIOD_RELAYED_MS (8 * CHECK_PERIOD_MS)
 
 void
 sources_init(sources_t *s, const addr_t *self, const char *data_centre,
@@ -144,7 +144,7 @@
 /* The first rank of P's data centre, among those that answer: the others
  * there have what they know from it. */
 static bool
-leads(const sources_t *s, ms_t now, const source_peer_t *p)
+is_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *q = &s->peer[i];
@@ -157,10 +157,10 @@
 }
 
 static bool
-is_other_leader(const sources_t *s, ms_t now, const source_peer_t *p)
+is_remote_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
     return p->data_centre[0] != '\0' && !is_local(s, p) &&
-           now >= p->failed_until && leads(s, now, p);
+           now >= p->failed_until && is_leader(s, now, p);
 }
 
 /* The other data centres' leaders that rank first; returns how many. */
@@ -173,7 +173,7 @@
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
         uint32_t at = n;
-        if (!is_other_leader(s, now, p)) {
+        if (!is_remote_leader(s, now, p)) {
             continue;
         }
         while (at > 0 && rank(&p->addr) < rank(&watcher[at - 1]->addr)) {
@@ -216,15 +216,15 @@
     source_peer_t *p = find(s, a);
 
     if (watcher != NULL && addr_eq(a, &watcher->addr)) {
-        s->watch_until = now + WATCH_MS;
+        s->watch_until = now + DIRECT_WATCH_MS;
     }
     if (s->relayed && addr_eq(a, &s->relay.addr)) {
         s->relayed = false;
     }
     if (p != NULL) {
-        p->wait = p->wait == 0 ? FAILED_MIN_MS : 2 * p->wait;
-        if (p->wait > FAILED_MAX_MS) {
-            p->wait = FAILED_MAX_MS;
+        p->wait = p->wait == 0 ? FAILURE_BACKOFF_MIN_MS : 2 * p->wait;
+        if (p->wait > FAILURE_BACKOFF_MAX_MS) {
+            p->wait = FAILURE_BACKOFF_MAX_MS;
         }
         p->failed_until = now + p->wait;
     }
@@ -308,13 +308,14 @@
 ms_t
 sources_check_ms(const sources_t *s)
 {
-    return s->relayed ? CHECK_RELAYED_MS : CHECK_MS;
+    return s->relayed ? CHECK_PERIOD_RELAYED_MS : CHECK_PERIOD_MS;
 }
 
-typedef enum { ANY, NEIGHBOUR, SEED, OTHER_LEADER } kind_t;
+typedef enum { ANY, NEIGHBOUR, SEED, REMOTE_LEADER } source_kind_t;
 
 static bool
-is_kind(const sources_t *s, ms_t now, const source_peer_t *p, kind_t kind)
+is_kind(const sources_t *s, ms_t now, const source_peer_t *p,
+        source_kind_t kind)
 {
     switch (kind) {
     case ANY:
@@ -323,8 +324,8 @@
         return is_local(s, p);
     case SEED:
         return p->data_centre[0] == '\0';
-    case OTHER_LEADER:
-        return is_other_leader(s, now, p);
+    case REMOTE_LEADER:
+        return is_remote_leader(s, now, p);
     }
     return false;
 }
@@ -332,21 +333,23 @@
 /* One at random of that kind, but not BUT; NULL: there is none that answers.
  */
 static const source_peer_t *
-one_of(sources_t *s, ms_t now, kind_t kind, const source_peer_t *but)
+random_peer(sources_t *s, ms_t now, source_kind_t kind,
+            const source_peer_t *except)
 {
-    const source_peer_t *one = NULL;
+    const source_peer_t *chosen = NULL;
     uint32_t n = 0;
 
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
-        if (p == but || now < p->failed_until || !is_kind(s, now, p, kind)) {
+        if (p == except || now < p->failed_until ||
+            !is_kind(s, now, p, kind)) {
             continue;
         }
         if (rng_below(&s->rng, ++n) == 0) { /* the n-th with chance 1/n */
-            one = p;
+            chosen = p;
         }
     }
-    return one;
+    return chosen;
 }
 
 /* A leader asks a watcher that it doesn't follow; NULL: it is no leader, or
@@ -368,18 +371,18 @@
 sources_check(sources_t *s, ms_t now)
 {
     const source_peer_t *leader = local_leader(s, now);
-    kind_t first = s->announced ? OTHER_LEADER : NEIGHBOUR;
-    kind_t second = s->announced ? NEIGHBOUR : OTHER_LEADER;
+    source_kind_t first = s->announced ? REMOTE_LEADER : NEIGHBOUR;
+    source_kind_t second = s->announced ? NEIGHBOUR : REMOTE_LEADER;
     const source_peer_t *p = other_watcher(s, now);
 
     if (p == NULL) {
-        p = one_of(s, now, first, leader);
+        p = random_peer(s, now, first, leader);
     }
     if (p == NULL) {
-        p = one_of(s, now, second, leader);
+        p = random_peer(s, now, second, leader);
     }
     if (p == NULL) {
-        p = one_of(s, now, ANY, leader);
+        p = random_peer(s, now, ANY, leader);
     }
     return p != NULL ? p : leader;
 }
@@ -387,15 +390,15 @@
 const source_peer_t *
 sources_start(sources_t *s, ms_t now)
 {
-    const source_peer_t *local = one_of(s, now, NEIGHBOUR, NULL);
-    const source_peer_t *seed = one_of(s, now, SEED, NULL);
+    const source_peer_t *local = random_peer(s, now, NEIGHBOUR, NULL);
+    const source_peer_t *seed = random_peer(s, now, SEED, NULL);
 
     if (local != NULL && seed != NULL) {
         return rng_below(&s->rng, 2) == 0 ? local : seed;
     }
     return local != NULL  ? local
            : seed != NULL ? seed
-                          : one_of(s, now, ANY, NULL);
+                          : random_peer(s, now, ANY, NULL);
 }
 
 ms_t
@@ -403,7 +406,7 @@
 {
     return s->seed || s->announced || s->n == 0
                ? 0
-               : RESYNC_DELAY_MIN_MS + rng_below(&s->rng, RESYNC_SPREAD_MS);
+               : RESYNC_DELAY_MIN_MS + rng_below(&s->rng, RESYNC_JITTER_MS);
 }
 
 bool
@@ -418,8 +421,8 @@
     bool slow = link_mbps > 0 && link_mbps < FAST_LINK_MBPS;
 
     if (s->seed) {
-        return rng_below(&s->rng, SEED_SPREAD_MS);
+        return rng_below(&s->rng, SEED_JITTER_MS);
     }
-    return (slow ? SLOW_LINK_WAIT_MS : 0) +
-           rng_below(&s->rng, ANNOUNCE_SPREAD_MS - SLOW_LINK_WAIT_MS);
+    return (slow ? SLOW_LINK_DELAY_MS : 0) +
+           rng_below(&s->rng, ANNOUNCE_JITTER_MS - SLOW_LINK_DELAY_MS);
 }
