--- a/member/body.c
+++ b/member/body.c
@@ -1,5 +1,5 @@
-/* Message bodies: a sequence of msgpack scalars, so that neither writing nor
- * reading allocates.  docs/PROTOCOL.md gives the fields.
+/* Codec of message bodies: a sequence of msgpack scalars, so that neither
+ * writing nor reading allocates.  docs/PROTOCOL.md lists the fields.
  */
 #include "member/internal.h"
 
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define BODY_VERSION 1
-#define LEFT_BIT 8 /* in the byte of a state */
+#define LEFT_BIT 8 /* flag in the state byte */
 
 enum { RECORD_BRIEF, RECORD_FULL };
 
@@ -101,7 +101,7 @@
     return 0;
 }
 
-/* Reads one scalar after another; BAD stays set after an error. */
+/* Reader of a sequence of scalars.  BAD stays set after an error. */
 typedef struct {
     const char *p;
     size_t len, off;
@@ -109,8 +109,9 @@
     bool bad;
 } reader_t;
 
-/* Arrays and maps: msgpack-c allocates what their length announces before it
- * looks for the elements, 256 GB for five bytes.  No body holds either. */
+/* Arrays and maps are refused; no valid body holds them.  msgpack-c allocates
+ * by their announced length before it reads an element: 256 GB for five bytes.
+ */
 static bool
 is_container(uint8_t first)
 {
--- a/member/internal.h
+++ b/member/internal.h
@@ -1,32 +1,33 @@
-/* member, internal: the member table, the queue of changes to pass on, and
- * the codec of message bodies.
+/* member, internal: the member table, the gossip queue, and the codec of
+ * message bodies.
  */
 #ifndef SISKIN_MEMBER_INTERNAL_H
 #define SISKIN_MEMBER_INTERNAL_H
 
 #include "member/member.h"
 
-#define PROBES_MAX 64   /* pings in progress */
-#define RELAYS_MAX 32   /* pings made for others */
-#define GOSSIP_MAX 40   /* most times that a change is sent on */
-#define RECORDS_MAX 64  /* member records read from one message */
-#define RECORDS_BULK 40 /* records written when many changes wait */
-#define CORRECTIONS_MAX                                                       \
-    4 /* outdated records of a sender put right at once                       \
-       */
-#define INCARNATION_MAX 0xFFFF0000u /* a reader refuses more: no overflow */
+#define PROBES_MAX 64     /* pings in progress */
+#define RELAYS_MAX 32     /* ping-reqs in progress for other members */
+#define GOSSIP_MAX 40     /* limit of transmissions of a change */
+#define RECORDS_MAX 64    /* member records read from one message */
+#define RECORDS_BULK 40   /* gossiped per message when many changes wait */
+#define CORRECTIONS_MAX 4 /* outdated records corrected in one answer */
+#define INCARNATION_MAX                                                       \
+    0xFFFF0000u /* higher ones are refused: no overflow                       \
+                 */
 
 /* ---- Message bodies ---- */
 
 typedef enum {
     MSG_PING = 1,
     MSG_ACK,
-    MSG_PING_REQ,    /* "ping TARGET for me" */
-    MSG_INDIRECT_ACK /* "TARGET has answered" */
+    MSG_PING_REQ,    /* requests a ping of TARGET */
+    MSG_INDIRECT_ACK /* TARGET has acknowledged a requested ping */
 } msg_kind_t;
 
-/* What one instance says of another.  FULL records carry the name, data
- * centre and addresses; others say only what changes. */
+/* An instance's record of a member, as sent.  A FULL record also carries the
+ * name, data centre and addresses, which don't change within an incarnation.
+ */
 typedef struct {
     bool full;
     member_t member;
@@ -38,48 +39,49 @@
     uint64_t target; /* of MSG_PING_REQ and MSG_INDIRECT_ACK */
     member_t sender; /* id is not sent: the envelope names the sender */
     uint64_t hash;   /* of the sender's version in force */
-    uint32_t alive;  /* members that the sender holds to be live */
-    member_t echo;   /* the receiver (ID and life), as the sender knows it */
+    uint32_t alive;  /* alive members in the sender's table */
+    member_t echo;   /* the sender's record of the receiver (ID and state) */
 } msg_head_t;
 
-/* A body being written. */
+/* Output buffer of the body writer. */
 typedef struct {
     uint8_t *p;
     size_t len, cap;
 } body_t;
 
-/* 0 or -ENOSPC; a record that doesn't fit leaves the body as it was. */
+/* Return 0 or -ENOSPC; a record that doesn't fit leaves the body unchanged. */
 int body_head(body_t *b, const msg_head_t *h);
 int body_record(body_t *b, const member_t *m, bool full);
-/* -EPROTO when not understood.  *N records are read. */
+/* Reads the head and *N records.  -EPROTO: malformed. */
 int body_read(const uint8_t *p, size_t len, msg_head_t *h, record_t *rec,
               size_t *n);
 
 /* ---- The table ---- */
 
-/* What is kept of a member besides its public record. */
+/* Private data of a member, beside its public record. */
 typedef struct {
     uint64_t id;
     uint32_t index; /* of its record in members_t.list */
-    uint32_t acked_incarnation, acked_revision; /* of self, as it knows it */
-    uint32_t alive; /* members that it holds to be live */
-    uint8_t sent;   /* times that its last change was passed on */
+    uint32_t acked_incarnation, acked_revision; /* self's, as last echoed */
+    uint32_t alive; /* alive members in the member's own table */
+    uint8_t sent;   /* transmissions of its last change */
     ms_t last_heartbeat;
-    ms_t incarnation_seen_at; /* its incarnation was first heard of */
-    ms_t unlisted_at;         /* first seen missing from the platform's list */
+    ms_t incarnation_seen_at; /* first record of the present incarnation */
+    ms_t unlisted_at;         /* first missing from the platform's list */
     uint64_t list_round;
-    uint64_t msg_no; /* last message that carries its record */
+    uint64_t msg_no; /* last message that carried its record */
     uint64_t requested_version;
     ms_t requested_at;
     link_t gossip;      /* in members_t.gossip[sent] */
-    link_t unreachable; /* in members_t.silent while SUSPECT or GONE unheard */
+    link_t unreachable; /* in members_t.unreachable while SUSPECT, or GONE
+                         * without a clean leave */
 } peer_t;
 
 typedef struct {
     peer_t *peer; /* NULL: free */
     uint32_t seq;
     ms_t sent_at;
-    int retries; /* times that others were asked */
+    int retries; /* repeated pings, each with ping-reqs */
 } probe_t;
 
 typedef struct {
@@ -96,16 +98,16 @@
     void *arg;
 
     member_t *list; /* sorted by id */
-    peer_t **peer;  /* the same order */
-    peer_t **order; /* the order of pings: shuffled */
+    peer_t **peer;  /* in the order of LIST */
+    peer_t **order; /* ping order, shuffled */
     size_t n, cap;
     size_t order_next, spread_next, anti_entropy_next;
     uint64_t self_id;
     peer_t *self;
     uint64_t self_hash;
-    uint32_t reported_alive; /* live members by the last message */
+    uint32_t reported_alive; /* alive members of the last message's sender */
 
-    link_t gossip[GOSSIP_MAX]; /* by times sent */
+    link_t gossip[GOSSIP_MAX]; /* by number of transmissions */
     size_t gossip_n;
     link_t unreachable;
     uint64_t msg_no;
@@ -119,7 +121,7 @@
     uint64_t list_round;
 
     ms_t last_tick, next_ping, next_sweep;
-    ms_t spread_until; /* self's state is news until then */
+    ms_t spread_until; /* end of the extra pings with self's new state */
     uint64_t pings;
     ms_t uncertain_at;
     uint64_t lowest; /* see members_lowest_version() */
@@ -134,7 +136,7 @@
 peer_t *table_add(members_t *m, const member_t *member);
 void table_remove(members_t *m, peer_t *p);
 void table_free(members_t *m);
-/* Puts the order of pings into a new random order. */
+/* Shuffles the ping order. */
 void table_shuffle(members_t *m);
 
 static inline member_t *
@@ -164,19 +166,19 @@
            count[MEMBER_LEAVING];
 }
 
-/* ---- What is known of each, and its spread ---- */
+/* ---- The view: merging records, and gossip ---- */
 
-/* Takes in what a message says of a member.  Returns the member's entry, or
- * NULL when it isn't known. */
+/* Merges a received record into the table.  Returns the member's entry, or
+ * NULL when the member is unknown. */
 peer_t *view_apply(members_t *m, ms_t now, const record_t *rec);
 void view_set_state(members_t *m, ms_t now, peer_t *p, member_state_t state);
-/* The member has VERSION in force, or a newer one. */
+/* Notes that the member has VERSION or a newer one in force. */
 void view_set_version(members_t *m, member_t *r, uint64_t version);
-/* Self's own state has a new revision: it is news again. */
+/* Starts to disseminate a new revision of self's state. */
 void view_self_changed(members_t *m, ms_t now);
-/* Adds a member that is not yet known. */
+/* Adds an unknown member. */
 peer_t *view_add(members_t *m, ms_t now, const member_t *member);
-/* Adds the changes most in need of spreading to a message for TO. */
+/* Adds the changes with the fewest transmissions to a message for TO. */
 void view_gossip(members_t *m, ms_t now, body_t *b, const peer_t *to);
 
 #endif
--- a/member/member.h
+++ b/member/member.h
@@ -1,16 +1,18 @@
-/* member: which instances live, and which version is the newest, by direct
- * heartbeats and gossip at a cost that does not grow with the fleet (the
- * SWIM way: each period one peer is pinged, others are asked to ping a silent
- * one, changes ride on the pings).  Pure: messages and time come in as
- * arguments, messages to send and events come out.
+/* member: group membership and failure detection with the SWIM protocol, and
+ * the newest configuration version in the group.  In each period an instance
+ * pings one peer and, when no acknowledgement arrives, asks others to ping
+ * that peer (ping-req).  Changes are gossiped on these messages, so that the
+ * cost per instance does not grow with the fleet.  The library does no I/O and
+ * reads no clock: messages and time are arguments, messages to send and events
+ * are passed to a callback.
  *
- * States of a member: JOINING (known, not yet a home), ACTIVE, LEAVING (takes
- * no new work, still forwards), SUSPECT (silent; no longer a home), GONE (left
- * cleanly, or confirmed by the platform's list or a long silence).
- * Each has an incarnation (one life of an instance) and, within it, a
- * revision; only the owner raises them.  A suspicion is refuted by the
- * suspected itself with a higher revision, and a restarted instance is told
- * from its earlier life by a higher incarnation.
+ * States of a member: JOINING (known, owns no flows yet), ACTIVE, LEAVING
+ * (accepts no new work, still forwards), SUSPECT (no answer; owns no flows any
+ * more), GONE (left cleanly, or confirmed by the platform's list or a long
+ * silence).  A member has an incarnation, which identifies one run of the
+ * instance, and a revision within the incarnation; only the member itself
+ * raises them.  A suspected member refutes the suspicion with a higher
+ * revision.  A restarted instance has a higher incarnation than before.
  */
 #ifndef SISKIN_MEMBER_H
 #define SISKIN_MEMBER_H
@@ -22,7 +24,7 @@
 extern "C" {
 #endif
 
-/* The table grows to this; more are refused, so that a faulty peer can't fill
+/* Members beyond this number are refused, so that a faulty peer can't exhaust
  * the memory. */
 #define MEMBERS_LIMIT 65536
 #define MEMBER_BODY_MAX 1000
@@ -40,22 +42,22 @@
     char name[NAME_LEN];
     char data_centre[NAME_LEN];
     addr_t peer_addr, bulk_addr;
-    uint32_t incarnation; /* its life; 0: never heard of but by a list */
-    uint32_t revision;    /* of its state, within the incarnation */
+    uint32_t incarnation; /* 0: known from a list only */
+    uint32_t revision;    /* of the state, within the incarnation */
     member_state_t state;
-    bool left;        /* GONE by its own word, after leaving */
-    uint64_t version; /* newest configuration it is known to have in force */
-    ms_t changed_at;  /* when STATE was last changed here */
+    bool left;        /* GONE after a clean leave */
+    uint64_t version; /* newest version reported to be in force there */
+    ms_t changed_at;  /* when STATE was last changed locally */
 } member_t;
 
 typedef struct {
-    ms_t period_ms;     /* between pings; 200 */
-    ms_t ack_ms;        /* a direct ping unanswered so long is asked round */
-    ms_t suspect_ms;    /* unanswered so long: SUSPECT */
-    ms_t gone_ms;       /* SUSPECT so long and off the platform's list: GONE */
-    ms_t forget_ms;     /* GONE so long: forgotten */
-    int indirect;       /* how many peers are asked to ping a silent one */
-    int gossip_per_msg; /* most member records on one message */
+    ms_t period_ms;     /* ping period */
+    ms_t ack_ms;        /* timeout before a ping-req */
+    ms_t suspect_ms;    /* from an unanswered ping to SUSPECT */
+    ms_t gone_ms;       /* from SUSPECT and off the platform's list to GONE */
+    ms_t forget_ms;     /* from GONE to the removal of the record */
+    int indirect;       /* peers that receive a ping-req */
+    int gossip_per_msg; /* limit of gossiped member records per message */
 } member_params_t;
 
 #define MEMBER_PARAMS_DEFAULT                                                 \
@@ -66,11 +68,10 @@
 
 typedef struct members members_t;
 
-/* What comes out of a step. */
 typedef enum {
     MEMBER_OUT_SEND,   /* send BODY to TO (as PEER_MEMBER) */
-    MEMBER_OUT_CHANGE, /* a member's state changed: rebuild the home table */
-    MEMBER_OUT_FETCH   /* MEMBER has a newer version: fetch it from there */
+    MEMBER_OUT_CHANGE, /* a member's state changed: rebuild the owner table */
+    MEMBER_OUT_FETCH   /* fetch the newer VERSION from member FROM */
 } member_out_kind_t;
 
 typedef struct {
@@ -89,62 +90,64 @@
     };
 } member_out_t;
 
-/* Called for each result, in order.  It must not call back into MEMBERS. */
+/* Called for each output, in order.  Must not call members_ functions. */
 typedef void member_emit_t(void *arg, const member_out_t *out);
 
-/* SELF gives id, name, data centre, addresses, incarnation (from the wall
- * clock in seconds, so that a restart has a higher one) and state JOINING. */
+/* SELF holds id, name, data centre, addresses, incarnation (the wall clock in
+ * seconds, so that it rises with each restart) and state JOINING. */
 members_t *members_new(const member_t *self, const member_params_t *params,
                        uint64_t seed, member_emit_t *emit, void *arg);
 void members_free(members_t *m);
 
 void members_tick(members_t *m, ms_t now);
-/* A PEER_MEMBER body from instance FROM.  -EPROTO when not understood. */
+/* Handles a PEER_MEMBER body from instance FROM.  -EPROTO: malformed. */
 int members_receive(members_t *m, ms_t now, uint64_t from, const uint8_t *body,
                     size_t len);
-/* A peer named by the settings or the platform's list.  Known ones stay. */
+/* Adds a peer from the settings or the platform's list; ignores known ones. */
 void members_learn(members_t *m, ms_t now, const member_t *peer);
-/* The platform's list was read: suspects missing from it may become GONE. */
+/* Applies a reading of the platform's list: suspects missing from it may
+ * become GONE. */
 void members_listed(members_t *m, ms_t now, const uint64_t *ids, size_t n);
 
-/* The instance's own state (ACTIVE, LEAVING) and version in force.  GONE is
- * the farewell of an instance that has left: tick on for a second or so, until
- * members_acked().  A version not above the present one is ignored. */
+/* Set the instance's own state and version in force.  After GONE, which
+ * announces a clean leave, call members_tick() until members_acked(), for
+ * about a second.  A version not above the present one is ignored. */
 void members_set_self(members_t *m, ms_t now, member_state_t state);
 void members_set_version(members_t *m, ms_t now, uint64_t version,
                          uint64_t hash);
 
-/* The members known, self included, sorted by id. */
+/* All known members, self included, sorted by id. */
 size_t members_list(const members_t *m, const member_t **out);
 const member_t *members_find(const members_t *m, uint64_t id);
-/* What operators see. */
+/* Counters for operators. */
 typedef struct {
     uint64_t sent, sent_bytes; /* messages and bytes of their bodies */
     uint64_t received, malformed;
-    uint64_t misaddressed; /* for an instance that had this address before */
-    uint64_t suspected;    /* members whose silence was noticed here first */
+    uint64_t misaddressed; /* for an earlier instance at this address */
+    uint64_t suspected;    /* suspicions raised by this instance */
     uint64_t refuted;      /* suspicions of self that were refuted */
     uint64_t pauses;    /* gaps between ticks that dropped pings in progress */
-    uint64_t conflicts; /* a peer with the same version and another hash */
+    uint64_t conflicts; /* messages with the same version and another hash */
     uint32_t count[MEMBER_GONE + 1]; /* members by state, self included */
 } member_stats_t;
 
 void members_stats(const members_t *m, member_stats_t *out);
-/* True when self has heard all members that are ACTIVE or JOINING say that
- * they know self's state; a JOINING self may then become ACTIVE.  It also
- * has to know as many live members as the last peer that it heard. */
+/* True when all ACTIVE and JOINING members have acknowledged self's state.  A
+ * JOINING self may then become ACTIVE; for it, the result also requires that
+ * self knows as many alive members as the peer that sent the last message. */
 bool members_acked(const members_t *m);
-/* The latest time at which any member was SUSPECT or came back from it, or
- * a member vanished without leaving; INT64_MIN when never.  While this is
- * recent, two instances may both believe that they are a flow's home. */
+/* The last time at which a member was SUSPECT or returned from SUSPECT, or at
+ * which a member disappeared without leaving; INT64_MIN: never.  While this is
+ * recent, ownership is uncertain: two instances may both believe that they own
+ * a flow. */
 ms_t members_doubt_at(const members_t *m, ms_t now);
-/* The lowest version known in force among members not GONE.  A JOINING member
- * without any version decides nothing and doesn't count; one that was never
- * heard counts as 0. */
+/* The lowest version in force among the members that are not GONE.  A JOINING
+ * member without a version makes no decisions and is left out.  A member from
+ * which no message has arrived yet counts as version 0. */
 uint64_t members_lowest_version(members_t *m);
-/* Is self one of the WATCHERS instances of its data centre (lowest rank by
- * hash among ACTIVE) that watch the platform for the others?  A self that is
- * JOINING is, while fewer than WATCHERS are ACTIVE. */
+/* True when self is one of the WATCHERS instances of its data centre (lowest
+ * rank by hash among ACTIVE) that watch the platform for the others.  A
+ * JOINING self is one while fewer than WATCHERS instances are ACTIVE. */
 bool members_watches(const members_t *m, int watchers);
 
 #ifdef __cplusplus
--- a/member/members.c
+++ b/member/members.c
@@ -1,5 +1,5 @@
-/* The protocol: pings and their answers, suspicion, what to fetch, and the
- * interface of member.h.
+/* The protocol: pings and acknowledgements, suspicion, version fetches, and
+ * the functions of member.h.
  */
 #include "member/internal.h"
 
@@ -7,17 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNREACHABLE_EVERY 5 /* pings between two of a silent member */
-#define ANTI_ENTROPY_EVERY                                                    \
-    4                       /* pings between two with a record unasked for    \
-                             */
-#define SPREAD_PER_PERIOD 8 /* extra pings while self's state is news */
-#define SPREAD_SCAN_MAX 64  /* members looked at for those */
-#define VERSION_FANOUT 3    /* extra pings when a version comes in force */
-#define PICK_TRIES 8        /* for a random live member */
-#define SWEEP_MS 60000      /* between looks for members to forget */
-#define FETCH_RETRY_MS 1000 /* no progress: another peer is asked */
-#define FETCH_SAME_PEER_MS 5000 /* and then the same one again */
+#define UNREACHABLE_EVERY 5  /* pings per ping of an unreachable member */
+#define ANTI_ENTROPY_EVERY 4 /* pings per anti-entropy record */
+#define SPREAD_PER_PERIOD 8  /* extra pings after a change of self's state */
+#define SPREAD_SCAN_MAX 64   /* members examined for an extra ping */
+#define VERSION_FANOUT 3     /* extra pings when a version comes in force */
+#define PICK_TRIES 8         /* attempts to find a random alive member */
+#define SWEEP_MS 60000       /* period of the removal of GONE members */
+#define FETCH_RETRY_MS 1000  /* without progress, before another peer */
+#define FETCH_SAME_PEER_MS 5000 /* before the same peer again */
 
 /* ---- Sending ---- */
 
@@ -41,8 +39,9 @@
            p->acked_revision >= self->revision;
 }
 
-/* Records unasked for: one on some pings, so that what gossip has missed is
- * mended in time; more for a newcomer that knows fewer members. */
+/* The number of anti-entropy records on a message: one on some pings, which
+ * repairs in time what gossip has missed, and more for a joining member that
+ * knows fewer members than this instance. */
 static int
 anti_entropy_records(const members_t *m, const peer_t *to, msg_kind_t kind)
 {
@@ -76,7 +75,8 @@
     }
 }
 
-/* The target's record, for an asker who must learn what it refutes. */
+/* Adds the target's record, so that the requester of a ping-req learns of a
+ * refutation. */
 static void
 put_target(members_t *m, body_t *b, uint64_t target)
 {
@@ -126,7 +126,8 @@
     send_msg(m, now, to, MSG_PING, ++m->seq, 0);
 }
 
-/* A random live member, neither self nor EXCEPT; NULL when none is found. */
+/* Returns a random alive member, neither self nor EXCEPT; NULL when none is
+ * found. */
 static peer_t *
 pick_random(members_t *m, const peer_t *except)
 {
@@ -139,7 +140,7 @@
     return NULL;
 }
 
-/* ---- Pings in turn, and silence ---- */
+/* ---- Periodic pings and suspicion ---- */
 
 static probe_t *
 free_probe(members_t *m)
@@ -197,8 +198,8 @@
     ping(m, now, p);
 }
 
-/* While self's state is news, members that haven't confirmed it are pinged
- * out of turn. */
+/* After a change of self's state, pings members that haven't acknowledged it,
+ * outside the ping order. */
 static void
 spread_self(members_t *m, ms_t now)
 {
@@ -217,8 +218,9 @@
     }
 }
 
-/* One lost datagram must not cost a member its homes: the ping is repeated,
- * and others are asked to try, each ACK_MS until the suspicion. */
+/* Repeats the ping and sends ping-reqs to other members, every ACK_MS until
+ * the suspicion: a member must not lose ownership of its flows for one lost
+ * datagram. */
 static void
 retry_probe(members_t *m, ms_t now, probe_t *probe)
 {
@@ -272,10 +274,10 @@
     }
 }
 
-/* This process was paused (SIGSTOP, a busy machine): answers to its pings lie
- * unread or were lost, and it would suspect every peer that it had pinged, so
- * those pings are void.  Others may have suspected it meanwhile: doubt, until
- * their echoes tell. */
+/* Detects that this process was paused (SIGSTOP, a busy machine).  Answers to
+ * its pings are unread or lost, and every pinged peer would become suspect, so
+ * the pings in progress are dropped.  Other members may have suspected this
+ * instance meanwhile, so ownership is uncertain until their echoes arrive. */
 static void
 check_pause(members_t *m, ms_t now)
 {
@@ -323,7 +325,7 @@
 void
 members_tick(members_t *m, ms_t now)
 {
-    if (m->last_tick == MS_NEVER) { /* the first; peers start unevenly */
+    if (m->last_tick == MS_NEVER) { /* first tick: spread the pings of peers */
         m->last_tick = now;
         m->next_ping = now + rng_below(&m->rng, (uint32_t)m->params.period_ms);
         m->next_sweep = now + SWEEP_MS;
@@ -344,8 +346,8 @@
 
 /* ---- Receiving ---- */
 
-/* A newer version is fetched from one peer at a time, and from another one
- * when that has brought nothing. */
+/* Requests a newer version from one peer at a time, and from another peer when
+ * the first doesn't deliver it. */
 static void
 maybe_fetch(members_t *m, ms_t now, peer_t *p, uint64_t version)
 {
@@ -474,15 +476,16 @@
         m->stats.malformed++;
         return -EPROTO;
     }
-    /* A dead instance's address has passed to this one, and its peers (self
-     * among them) look for it here: what they say isn't about self. */
+    /* When a dead instance's address has passed to this one, members (also
+     * self) still ping the dead instance there: their echo isn't about self.
+     */
     if (head.echo.id != m->self_id || from == m->self_id) {
         m->stats.misaddressed++;
         return 0;
     }
     m->n_corrections = 0;
     p = apply_records(m, now, from, &head, rec, n);
-    if (p == NULL) { /* unknown: it repeats itself with its addresses */
+    if (p == NULL) { /* unknown until it sends its full record */
         return 0;
     }
     p->last_heartbeat = now;
@@ -497,7 +500,7 @@
     return 0;
 }
 
-/* ---- The interface ---- */
+/* ---- Public functions ---- */
 
 members_t *
 members_new(const member_t *self, const member_params_t *params, uint64_t seed,
@@ -560,8 +563,8 @@
     view_add(m, now, &r);
 }
 
-/* A suspect is confirmed by two readings of the list without it, GONE_MS
- * apart; while the list can't be read, nobody is. */
+/* Two readings of the list without a suspect, GONE_MS apart, confirm that it
+ * is gone.  While the list can't be read, no suspect is confirmed. */
 static void
 confirm_gone(members_t *m, ms_t now, peer_t *p)
 {
@@ -655,9 +658,9 @@
     *out = m->stats;
 }
 
-/* A newcomer that was told of one peer, and confirmed by it, would take itself
- * for the home of half of the flows; so it waits until it knows as many live
- * members as the last peer that it heard. */
+/* A joining instance that knows one peer only, and is acknowledged by it,
+ * would assume that it owns half of the flows.  So it waits until it knows as
+ * many alive members as the peer that sent the last message. */
 static bool
 knows_all_members(const members_t *m)
 {
--- a/member/table.c
+++ b/member/table.c
@@ -1,6 +1,6 @@
-/* The member table: records sorted by ID for lookup by binary search, and the
- * shuffled order in which members are pinged.  Only a join, and the end of a
- * dead member's record, move entries.
+/* The member table: records sorted by ID for binary search, and the shuffled
+ * ping order.  Entries move only when a member joins or a dead member's record
+ * is removed.
  */
 #include "member/internal.h"
 
@@ -9,7 +9,7 @@
 
 #define INITIAL_CAP 16
 
-/* The index of ID, or where it would stand. */
+/* Returns the index of ID, or the index at which to insert it. */
 static size_t
 position(const members_t *m, uint64_t id)
 {
@@ -71,8 +71,7 @@
     }
 }
 
-/* A newcomer takes a random place in the order, and who stood there goes to
- * the end. */
+/* Swaps the new last entry with a random one of the ping order. */
 static void
 order_add(members_t *m, peer_t *p)
 {
--- a/member/view.c
+++ b/member/view.c
@@ -1,16 +1,18 @@
-/* What is known of each member: which of two statements holds, what follows
- * from a change, and how it is passed on.
+/* The view of the group: precedence of records, effects of a change, and
+ * gossip.
  */
 #include "member/internal.h"
 
 #include <string.h>
 
-#define FULL_RECORD_MS                                                        \
-    10000 /* a newcomer's changes go out with its addresses */
+/* For this time after a new incarnation, records are sent in full, so that
+ * changes of a new member arrive with its addresses. */
+#define FULL_RECORD_MS 10000
 #define GOSSIP_BACKLOG                                                        \
-    60 /* more changes than this wait: messages are filled */
+    60 /* with more changes than this, messages are filled */
 
-/* How long self's new state is told to members that haven't confirmed it. */
+/* Period of the extra pings to members that haven't acknowledged self's new
+ * state. */
 #define SPREAD_MS 3000
 
 static void
@@ -33,8 +35,8 @@
     m->emit(m->arg, &out);
 }
 
-/* Silent members are pinged now and then, so that the sides of a healed
- * partition find each other; those that said goodbye are not. */
+/* Unreachable members are pinged at a low rate, so that the sides of a healed
+ * partition find each other.  Members that left cleanly are not. */
 static void
 update_unreachable(members_t *m, peer_t *p)
 {
@@ -69,9 +71,8 @@
     emit_change(m, p);
 }
 
-/* Only a member that may have been the last with its version moves the lowest
- * one: a look at all members for each message would cost more than the rest.
- */
+/* Marks the lowest version stale only when this member may have had it: a scan
+ * of all members for each message would cost more than everything else. */
 void
 view_set_version(members_t *m, member_t *r, uint64_t version)
 {
@@ -104,8 +105,8 @@
     return p;
 }
 
-/* Of statements about one revision, a suspicion overrides its owner's word,
- * and a confirmed end overrides a suspicion. */
+/* Among records of one revision, a suspicion overrides the member's own state,
+ * and a confirmed GONE overrides a suspicion. */
 static int
 state_precedence(const member_t *r)
 {
@@ -115,7 +116,7 @@
     return r->state == MEMBER_GONE && !r->left ? 2 : 0;
 }
 
-/* Above 0 when A supersedes B, 0 when they say the same. */
+/* Above 0: A supersedes B; 0: same precedence. */
 static int
 compare(const member_t *a, const member_t *b)
 {
@@ -128,9 +129,9 @@
     return state_precedence(a) - state_precedence(b);
 }
 
-/* Others' word about self: a suspicion is refuted, and what they keep of an
- * earlier life (the clock may have gone back between the two) is superseded.
- */
+/* Handles other members' records of self.  Refutes a suspicion with a higher
+ * revision.  Supersedes a record of an earlier incarnation that is higher than
+ * the present one (the wall clock may have gone back between the two). */
 static void
 apply_self_record(members_t *m, ms_t now, const member_t *reported)
 {
@@ -162,8 +163,9 @@
     to->bulk_addr = from->bulk_addr;
 }
 
-/* The instance was started again: nothing of its earlier life holds.  When
- * that ended without leaving, what it alone knew is lost: doubt. */
+/* The instance has restarted: discards the state of the earlier incarnation.
+ * If that ended without leaving, decisions that only it had are lost, so
+ * ownership is uncertain. */
 static void
 new_incarnation(members_t *m, ms_t now, peer_t *p, const member_t *reported)
 {
@@ -238,8 +240,8 @@
     return p;
 }
 
-/* Twice the depth of the epidemic: after that nobody is left who hasn't
- * heard, but for one in millions. */
+/* Limit of transmissions of a change: twice the depth of the epidemic, after
+ * which the change has reached all but one in millions. */
 static int
 gossip_limit(const members_t *m)
 {
