--- a/member/internal.h
+++ b/member/internal.h
@@ -12,9 +12,9 @@
 #define RECORDS_MAX 64    /* member records read from one message */
 #define RECORDS_BULK 40   /* gossiped per message when many changes wait */
 #define CORRECTIONS_MAX 4 /* outdated records corrected in one answer */
-#define INCARNATION_MAX                                                       \
-    0xFFFF0000u /* higher ones are refused: no overflow                       \
-                 */
+/* Higher incarnations and revisions are refused, so that increments never
+ * overflow. */
+#define INCARNATION_MAX 0xFFFF0000u
 
 /* ---- Message bodies ---- */
 
@@ -26,8 +26,7 @@
 } msg_kind_t;
 
 /* An instance's record of a member, as sent.  A FULL record also carries the
- * name, data centre and addresses, which don't change within an incarnation.
- */
+ * name, data centre and addresses; others only the fields that change. */
 typedef struct {
     bool full;
     member_t member;
--- a/member/view.c
+++ b/member/view.c
@@ -8,8 +8,7 @@
 /* For this time after a new incarnation, records are sent in full, so that
  * changes of a new member arrive with its addresses. */
 #define FULL_RECORD_MS 10000
-#define GOSSIP_BACKLOG                                                        \
-    60 /* with more changes than this, messages are filled */
+#define GOSSIP_BACKLOG 60 /* above this, messages are filled up */
 
 /* Period of the extra pings to members that haven't acknowledged self's new
  * state. */
--- a/source/followers.c
+++ b/source/followers.c
@@ -1,8 +1,8 @@
-/* Those that follow this instance: see source.h. */
+/* Followers of this instance: see source.h. */
 #include "source/source.h"
 
-/* A follower asks at least once a second; one that is silent for this time has
- * gone, or follows another. */
+/* A follower calls at least once a second; without a call for this time, it
+ * has stopped or follows another peer. */
 #define FOLLOWER_TIMEOUT_MS 2000
 
 void
--- a/source/source.c
+++ b/source/source.c
@@ -1,46 +1,49 @@
-/* Whom an instance follows: see source.h. */
+/* Selection of the peer to follow: see source.h. */
 #include "source/source.h"
 
 #include <errno.h>
 #include <string.h>
 
-/* Backoff of a failed peer: exponential.  The first is short: most failures
- * are restarts, which take a second or two. */
+/* Exponential backoff of a failed peer.  The first is short: most failures are
+ * restarts, which take a second or two. */
 #define FAILURE_BACKOFF_MIN_MS 1500
 #define FAILURE_BACKOFF_MAX_MS 12000
-/* Delay before an instance that starts reads a long list itself, with jitter:
- * its peers may have it by then, and those whose peers are all down must not
- * read it all at once. */
+/* Delay before a starting instance reads a long list from the store: a peer
+ * may have it by then.  The jitter keeps instances whose peers are all down
+ * from reading it at the same time. */
 #define RESYNC_DELAY_MIN_MS 800
 #define RESYNC_JITTER_MS 800
 
-/* Instances that start together wait for times that differ before they
- * announce themselves: by then they see that enough others are announced. */
+/* Jitter of the announcement delay: of instances that start together, the
+ * later ones see that enough others are announced. */
 #define ANNOUNCE_JITTER_MS 8000
-/* Those with slower links wait longer, by a part of the spread: the announced
- * ones hand the list to all others when all start together. */
+/* Instances with slower links wait longer, by a part of the jitter: when all
+ * start together, the announced ones send the list to all others. */
 #define FAST_LINK_MBPS 100
 #define SLOW_LINK_DELAY_MS (ANNOUNCE_JITTER_MS / 2)
 
-/* Seeds are known to all from the start, and are the first. */
+/* Seeds announce themselves first: all instances know them from the settings.
+ */
 #define SEED_JITTER_MS 500
 
-/* Hop limit: leaders may briefly follow each other during a change.  With
- * places for 32 followers, a tree of three levels holds 32,768 instances. */
+/* Limit of consecutive redirects: leaders may briefly follow each other during
+ * a change.  With 32 follower places, a tree of three levels holds 32,768
+ * instances. */
 #define HOPS_MAX 8
 
-/* Leaders that follow the store.  Two: one that is cut off or turned away is
- * found out by those that ask the other. */
+/* Leaders that follow the store.  Two, so that leaders that check with the one
+ * detect that the other is cut off or refused by the store. */
 #define WATCHERS 2
-/* How long a leader follows the store after a watcher has failed it. */
+/* Time for which a leader follows the store after its watcher has failed. */
 #define DIRECT_WATCH_MS 6000
 
-/* Period of the questions to peers other than the followed one: short enough
- * that a peer that doesn't answer and a second question fit a change's time.
+/* Period of the checks with peers other than the followed one: short enough
+ * that an unanswered check and a second one fit in the time limit of a change.
  */
 #define CHECK_PERIOD_MS 700
-/* One that follows a relay leaves it to the relay, mostly: the announced ones
- * would be asked by all of the data centre, each time. */
+/* Period below a relay, which checks more often itself: otherwise all
+ * instances of the data centre would check with the announced ones each time.
+ */
 #define CHECK_PERIOD_RELAYED_MS (8 * CHECK_PERIOD_MS)
 
 void
@@ -90,9 +93,9 @@
         return;
     }
     if (strcmp(data_centre, s->data_centre) == 0 && count_local(s) == 0) {
-        s->relayed = false; /* of another data centre */
+        s->relayed = false; /* the relay is in another data centre */
     }
-    if (p == NULL) { /* where there is no room, chance says who goes */
+    if (p == NULL) { /* a full table: replace a random entry */
         p = s->n < SOURCE_PEERS_MAX
                 ? &s->peer[s->n++]
                 : &s->peer[rng_below(&s->rng, SOURCE_PEERS_MAX)];
@@ -122,8 +125,8 @@
     return hash64(a->ip, sizeof(a->ip), a->port);
 }
 
-/* The answering instance of this data centre that ranks first; NULL: it is
- * this one, or there is none. */
+/* Returns the announced instance of lowest rank of this data centre, except
+ * those in backoff; NULL: this instance, or none. */
 static const source_peer_t *
 local_leader(const sources_t *s, ms_t now)
 {
@@ -141,8 +144,8 @@
     return first;
 }
 
-/* The first rank of P's data centre, among those that answer: the others
- * there have what they know from it. */
+/* True when P has the lowest rank of its data centre, except those in backoff:
+ * the other instances there get their data from P. */
 static bool
 is_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
@@ -163,7 +166,7 @@
            now >= p->failed_until && is_leader(s, now, p);
 }
 
-/* The other data centres' leaders that rank first; returns how many. */
+/* Finds the other data centres' leaders of lowest rank; returns the number. */
 static uint32_t
 find_watchers(const sources_t *s, ms_t now,
               const source_peer_t *watcher[WATCHERS])
@@ -191,8 +194,8 @@
     return n;
 }
 
-/* The watcher that this instance follows, as a leader or because its data
- * centre has no announced instance; NULL: none. */
+/* Returns the watcher that this instance follows, as a leader or because its
+ * data centre has no announced instance; NULL: none. */
 static const source_peer_t *
 followed_watcher(const sources_t *s, ms_t now)
 {
@@ -251,7 +254,7 @@
         sources_answered(s, a);
         return;
     case SOURCE_STARTING:
-        return; /* it is asked again: it may be the first to know */
+        return; /* no backoff: it may be the first to have the data */
     case SOURCE_SILENT:
         sources_failed(s, now, a);
         return;
@@ -330,8 +333,8 @@
     return false;
 }
 
-/* One at random of that kind, but not BUT; NULL: there is none that answers.
- */
+/* Returns a random peer of that kind, not EXCEPT and not in backoff; NULL:
+ * none. */
 static const source_peer_t *
 random_peer(sources_t *s, ms_t now, source_kind_t kind,
             const source_peer_t *except)
@@ -345,15 +348,15 @@
             !is_kind(s, now, p, kind)) {
             continue;
         }
-        if (rng_below(&s->rng, ++n) == 0) { /* the n-th with chance 1/n */
+        if (rng_below(&s->rng, ++n) == 0) { /* reservoir sampling, size 1 */
             chosen = p;
         }
     }
     return chosen;
 }
 
-/* A leader asks a watcher that it doesn't follow; NULL: it is no leader, or
- * there is none. */
+/* Returns the watcher with which a leader checks, other than the followed one;
+ * NULL: this instance is no leader, or there is none. */
 static const source_peer_t *
 other_watcher(const sources_t *s, ms_t now)
 {
