--- a/test/member_test.cc
+++ b/test/member_test.cc
@@ -20,20 +20,20 @@
 // messages waiting when it wakes.
 struct Node {
     Net *net;
-    int i;      // its place, which is its address
-    int called; // its name
+    int i;          // its place, which is its address
+    int name_index; // its name
     members_t *m;
     bool up = true, paused = false;
     int side = 0; // of a partition
-    int life = 0;
+    int starts = 0;
     uint64_t version = 0;
-    std::set<uint64_t> asked; // peers that a fetch named
+    std::set<uint64_t> fetch_sources; // peers that a fetch named
     int fetches = 0;
-    std::vector<std::vector<uint8_t>> waiting;
-    std::vector<uint64_t> waiting_from;
+    std::vector<std::vector<uint8_t>> queue;
+    std::vector<uint64_t> queue_from;
 };
 
-struct Flight {
+struct Datagram {
     int from, to;
     std::vector<uint8_t> body;
 };
@@ -48,7 +48,7 @@
 }
 
 static member_t
-named(int i, uint32_t incarnation)
+describe(int i, uint32_t incarnation)
 {
     member_t r = {};
     snprintf(r.name, sizeof(r.name), "vstup-%d", i);
@@ -62,13 +62,13 @@
 struct Net {
     ms_t now = 1000;
     rng_t rng;
-    uint32_t loss = 0, twice = 0; // percent
-    uint32_t delay = 5;           // most, ms
-    bool serve = true;            // fetches succeed
-    size_t longest = 0;
+    uint32_t loss = 0, duplication = 0; // percent
+    uint32_t delay = 5;                 // most, ms
+    bool serve = true;                  // fetches succeed
+    size_t longest_body = 0;
     uint32_t clock = 1000; // the wall clock, seconds
     std::vector<std::unique_ptr<Node>> node;
-    std::multimap<ms_t, Flight> flight;
+    std::multimap<ms_t, Datagram> in_flight;
 
     explicit Net(uint64_t seed) : rng{seed, 0}
     {
@@ -90,7 +90,7 @@
                          out->send.len);
         }
         else if (out->kind == MEMBER_OUT_FETCH) {
-            n->asked.insert(out->fetch.from.id);
+            n->fetch_sources.insert(out->fetch.from.id);
             n->fetches++;
             if (n->net->serve) {
                 n->version = std::max(n->version, out->fetch.version);
@@ -101,13 +101,13 @@
     void
     send(int from, int to, const uint8_t *p, size_t len)
     {
-        longest = std::max(longest, len);
-        int copies = rng_below(&rng, 100) < twice ? 2 : 1;
+        longest_body = std::max(longest_body, len);
+        int copies = rng_below(&rng, 100) < duplication ? 2 : 1;
         for (int c = 0; c < copies; c++) {
             ms_t at = now + 1 + rng_below(&rng, delay);
             bool arrives = to < (int)node.size();
             if (arrives && rng_below(&rng, 100) >= loss) {
-                flight.insert({at, {from, to, {p, p + len}}});
+                in_flight.insert({at, {from, to, {p, p + len}}});
             }
         }
     }
@@ -118,7 +118,7 @@
         int i = (int)node.size();
         node.push_back(std::make_unique<Node>());
         node[i]->net = this;
-        node[i]->i = node[i]->called = i;
+        node[i]->i = node[i]->name_index = i;
         start(i, seeds);
         return *node[i];
     }
@@ -128,15 +128,15 @@
     {
         member_params_t params = MEMBER_PARAMS_DEFAULT;
         Node &n = *node[i];
-        member_t self = named(n.called, clock);
+        member_t self = describe(n.name_index, clock);
         self.peer_addr = self.bulk_addr = addr_of(i);
         n.up = true;
         n.paused = false;
         n.version = 0;
-        n.life++;
+        n.starts++;
         n.m = members_new(&self, &params, rng_next(&rng), emit, &n);
         for (int s : seeds) {
-            member_t peer = named(s, 0);
+            member_t peer = describe(s, 0);
             if (s != i) {
                 members_learn(n.m, now, &peer);
             }
@@ -149,21 +149,21 @@
         members_free(node[i]->m);
         node[i]->m = nullptr;
         node[i]->up = node[i]->paused = false;
-        node[i]->waiting.clear();
-        node[i]->waiting_from.clear();
+        node[i]->queue.clear();
+        node[i]->queue_from.clear();
     }
 
     void
-    deliver(const Flight &f)
+    deliver(const Datagram &f)
     {
         Node &n = *node[f.to];
         if (!n.up || n.side != node[f.from]->side) {
             return;
         }
-        uint64_t from = named(node[f.from]->called, 0).id;
+        uint64_t from = describe(node[f.from]->name_index, 0).id;
         if (n.paused) {
-            n.waiting.push_back(f.body);
-            n.waiting_from.push_back(from);
+            n.queue.push_back(f.body);
+            n.queue_from.push_back(from);
             return;
         }
         EXPECT_EQ(
@@ -171,17 +171,17 @@
     }
 
     void
-    wake(int i)
+    resume(int i)
     {
         Node &n = *node[i];
         n.paused = false;
         members_tick(n.m, now);
-        for (size_t k = 0; k < n.waiting.size(); k++) {
-            members_receive(n.m, now, n.waiting_from[k], n.waiting[k].data(),
-                            n.waiting[k].size());
+        for (size_t k = 0; k < n.queue.size(); k++) {
+            members_receive(n.m, now, n.queue_from[k], n.queue[k].data(),
+                            n.queue[k].size());
         }
-        n.waiting.clear();
-        n.waiting_from.clear();
+        n.queue.clear();
+        n.queue_from.clear();
     }
 
     void
@@ -194,7 +194,7 @@
         if (n.version != 0) {
             members_set_version(n.m, now, n.version, n.version * 7);
         }
-        if (state(n.i, n.called) == MEMBER_JOINING && members_acked(n.m)) {
+        if (state(n.i, n.name_index) == MEMBER_JOINING && members_acked(n.m)) {
             members_set_self(n.m, now, MEMBER_ACTIVE);
         }
     }
@@ -204,10 +204,10 @@
     {
         for (ms_t end = now + span; now < end;) {
             ms_t next = now + TICK - now % TICK;
-            while (!flight.empty() && flight.begin()->first <= next) {
-                Flight f = flight.begin()->second;
-                now = std::max(now, flight.begin()->first);
-                flight.erase(flight.begin());
+            while (!in_flight.empty() && in_flight.begin()->first <= next) {
+                Datagram f = in_flight.begin()->second;
+                now = std::max(now, in_flight.begin()->first);
+                in_flight.erase(in_flight.begin());
                 deliver(f);
             }
             now = next;
@@ -222,7 +222,7 @@
     state(int i, int of)
     {
         const member_t *r =
-            members_find(node[i]->m, instance_id(named(of, 0).name));
+            members_find(node[i]->m, instance_id(describe(of, 0).name));
         return r != nullptr ? r->state : MEMBER_GONE;
     }
 
@@ -252,7 +252,7 @@
     bool
     sending(int i)
     {
-        for (auto &f : flight) {
+        for (auto &f : in_flight) {
             if (f.second.from == i) {
                 return true;
             }
@@ -272,7 +272,7 @@
     }
 
     bool
-    doubt(int i, ms_t within)
+    uncertain(int i, ms_t within)
     {
         ms_t at = members_doubt_at(node[i]->m, now);
         return at != INT64_MIN && now - at < within;
@@ -280,7 +280,7 @@
 };
 
 static std::vector<int>
-upto(int n)
+first_n(int n)
 {
     std::vector<int> v;
     for (int i = 0; i < n; i++) {
@@ -294,7 +294,7 @@
 {
     auto net = std::make_unique<Net>(seed);
     for (int i = 0; i < n; i++) {
-        net->add(upto(n));
+        net->add(first_n(n));
     }
     net->run(5000);
     for (int i = 0; i < n; i++) {
@@ -303,12 +303,12 @@
     return net;
 }
 
-TEST(Member, AFleetForms)
+TEST(Member, FleetBecomesActive)
 {
     auto net = fleet(9, 1);
     for (int i = 0; i < 9; i++) {
         EXPECT_EQ(0u, net->stats(i).suspected);
-        EXPECT_FALSE(net->doubt(i, MS_NEVER / 2));
+        EXPECT_FALSE(net->uncertain(i, MS_NEVER / 2));
     }
 }
 
@@ -328,7 +328,7 @@
 // it knows the newcomer.  If it served now, it would hold itself and that peer
 // for the only homes, and take flows that have theirs.  It has to know all
 // members, and all of them it, before it is ACTIVE.
-TEST(Member, NewcomerKnowsAllBeforeItServes)
+TEST(Member, JoiningInstanceKnowsAllBeforeActive)
 {
     for (uint64_t seed = 20; seed < 40; seed++) {
         auto net = fleet(9, seed);
@@ -354,21 +354,21 @@
     net->run(4000);
     EXPECT_EQ(7, net->seen(5, MEMBER_SUSPECT));
     std::vector<uint64_t> ids;
-    for (int i : upto(8)) {
+    for (int i : first_n(8)) {
         if (i != 5) {
-            ids.push_back(instance_id(named(i, 0).name));
+            ids.push_back(instance_id(describe(i, 0).name));
         }
     }
     members_listed(net->node[0]->m, net->now, ids.data(), ids.size());
     net->run(59000);
     EXPECT_EQ(7, net->seen(5, MEMBER_SUSPECT));
-    EXPECT_TRUE(net->doubt(0, 1));
+    EXPECT_TRUE(net->uncertain(0, 1));
     net->run(2000);
     members_listed(net->node[0]->m, net->now, ids.data(), ids.size());
     net->run(4000);
     EXPECT_EQ(7, net->seen(5, MEMBER_GONE));
-    EXPECT_FALSE(net->doubt(0, 1000));
-    EXPECT_TRUE(net->doubt(0, 6000));
+    EXPECT_FALSE(net->uncertain(0, 1000));
+    EXPECT_TRUE(net->uncertain(0, 6000));
 }
 
 // The platform is out of reach after one reading without the dead instance:
@@ -379,7 +379,7 @@
     auto net = fleet(4, 4);
     net->kill(3);
     net->run(4000);
-    uint64_t ids[] = {named(0, 0).id, named(1, 0).id, named(2, 0).id};
+    uint64_t ids[] = {describe(0, 0).id, describe(1, 0).id, describe(2, 0).id};
     members_listed(net->node[0]->m, net->now, ids, 3);
     net->run(120000);
     EXPECT_EQ(3, net->seen(3, MEMBER_SUSPECT));
@@ -391,7 +391,7 @@
 
 // An instance leaves: LEAVING, then its farewell.  Nobody suspects it and
 // there is no doubt, for it has handed over what it alone knew.
-TEST(Member, CleanLeaveIsNoDoubt)
+TEST(Member, CleanLeaveKeepsOwnershipCertain)
 {
     auto net = fleet(8, 5);
     members_set_self(net->node[2]->m, net->now, MEMBER_LEAVING);
@@ -404,14 +404,14 @@
     net->run(30000);
     EXPECT_EQ(7, net->seen(2, MEMBER_GONE));
     for (int i : {0, 1, 3, 4, 5, 6, 7}) {
-        EXPECT_FALSE(net->doubt(i, MS_NEVER / 2)) << i;
+        EXPECT_FALSE(net->uncertain(i, MS_NEVER / 2)) << i;
     }
 }
 
 // An instance is stopped for 10 s and wakes with unanswered pings and a full
 // receive queue.  It suspects nobody, knows at once that it may have been
 // suspected, learns from the echoes that it was, and refutes that.
-TEST(Member, PausedInstanceWakes)
+TEST(Member, PausedInstanceRefutesSuspicion)
 {
     auto net = fleet(8, 6);
     while (!net->sending(4)) { // until a ping of its own is on its way
@@ -421,9 +421,9 @@
     net->run(10000);
     EXPECT_EQ(7, net->seen(4, MEMBER_SUSPECT));
     members_tick(net->node[4]->m, net->now); // before it reads its queue
-    EXPECT_TRUE(net->doubt(4, 1));
+    EXPECT_TRUE(net->uncertain(4, 1));
     EXPECT_EQ(0u, net->stats(4).suspected);
-    net->wake(4);
+    net->resume(4);
     net->run(4000);
     EXPECT_EQ(8, net->seen(4, MEMBER_ACTIVE));
     EXPECT_EQ(0u, net->stats(4).suspected);
@@ -433,7 +433,7 @@
 // An instance is killed and started again under its name before anyone has
 // missed it.  What the earlier life alone knew is lost, so that each peer
 // must have a doubt though it never saw the instance silent.
-TEST(Member, RestartIsToldFromTheEarlierLife)
+TEST(Member, RestartIsDetectedByIncarnation)
 {
     auto net = fleet(8, 7);
     net->kill(1);
@@ -442,7 +442,7 @@
     net->run(4000);
     EXPECT_EQ(8, net->seen(1, MEMBER_ACTIVE));
     for (int i : {0, 2, 3, 4, 5, 6, 7}) {
-        EXPECT_TRUE(net->doubt(i, 5000)) << i;
+        EXPECT_TRUE(net->uncertain(i, 5000)) << i;
     }
 }
 
@@ -450,13 +450,13 @@
 // Peers go on looking for the dead one there; the newcomer must not take their
 // suspicion for its own (seen before: it refuted each second and never became
 // ACTIVE, for each refutation has to be confirmed again by all).
-TEST(Member, NewInstanceAtADeadOnesAddress)
+TEST(Member, NewInstanceAtADeadInstancesAddress)
 {
     auto net = fleet(8, 14);
     net->kill(7);
     net->run(4000);
-    net->node[7]->called = 20;
-    net->start(7, upto(7));
+    net->node[7]->name_index = 20;
+    net->start(7, first_n(7));
     net->run(10000);
     EXPECT_EQ(8, net->seen(20, MEMBER_ACTIVE));
     EXPECT_EQ(MEMBER_SUSPECT, net->state(0, 7));
@@ -466,12 +466,12 @@
 
 // The wall clock goes back between two lives: the new one looks older than
 // what the peers remember.  Their records tell it so, and it rises above.
-TEST(Member, RestartWithAnEarlierClock)
+TEST(Member, RestartWithClockSetBack)
 {
     auto net = fleet(4, 8);
     net->kill(1);
     net->clock -= 500;
-    net->start(1, upto(4));
+    net->start(1, first_n(4));
     net->run(5000);
     EXPECT_EQ(4, net->seen(1, MEMBER_ACTIVE));
 }
@@ -488,7 +488,7 @@
     net->run(10000);
     EXPECT_EQ(5, net->seen(8, MEMBER_SUSPECT));
     EXPECT_EQ(4, net->seen(8, MEMBER_ACTIVE));
-    uint64_t id = instance_id(named(0, 0).name);
+    uint64_t id = instance_id(describe(0, 0).name);
     members_listed(net->node[0]->m, net->now, &id, 1);
     net->run(61000);
     members_listed(net->node[0]->m, net->now, &id, 1);
@@ -513,24 +513,24 @@
     net->run(3000);
     for (auto &n : net->node) {
         EXPECT_EQ(5u, n->version);
-        EXPECT_LE(n->asked.size(), 1u);
+        EXPECT_LE(n->fetch_sources.size(), 1u);
         EXPECT_EQ(5u, members_lowest_version(n->m));
     }
     net->serve = false;
-    net->node[0]->asked.clear();
+    net->node[0]->fetch_sources.clear();
     net->node[0]->fetches = 0;
     net->node[3]->version = net->node[4]->version = 6;
     net->run(20000);
-    EXPECT_EQ(2u, net->node[0]->asked.size());
+    EXPECT_EQ(2u, net->node[0]->fetch_sources.size());
     EXPECT_LE(net->node[0]->fetches, 10); // each at most once in 5 s
     members_set_version(net->node[3]->m, net->now, 4, 1);
-    EXPECT_EQ(
-        6u,
-        members_find(net->node[3]->m, instance_id(named(3, 0).name))->version);
+    EXPECT_EQ(6u,
+              members_find(net->node[3]->m, instance_id(describe(3, 0).name))
+                  ->version);
     EXPECT_EQ(5u, members_lowest_version(net->node[3]->m));
 }
 
-TEST(Member, AFewWatchInEachDataCentre)
+TEST(Member, TwoInstancesWatchPerDataCentre)
 {
     auto net = fleet(9, 11);
     int watching[2] = {0, 0};
@@ -543,7 +543,7 @@
 
 // With one datagram in a hundred lost, repeated and indirect pings keep every
 // instance from being suspected.
-TEST(Member, LossAloneSuspectsNobody)
+TEST(Member, PacketLossCausesNoSuspicion)
 {
     auto net = fleet(9, 12);
     net->loss = 1;
@@ -559,17 +559,17 @@
 {
     auto net = std::make_unique<Net>(13);
     for (int i = 0; i < 40; i++) {
-        net->add(upto(40));
+        net->add(first_n(40));
         for (int k = 100; k < 140; k++) {
-            member_t peer = named(k, 0);
+            member_t peer = describe(k, 0);
             memset(peer.name, 'x', NAME_LEN - 1);
             memset(peer.data_centre, 'y', NAME_LEN - 1);
             members_learn(net->node[i]->m, net->now, &peer);
         }
     }
     net->run(20000);
-    EXPECT_LE(net->longest, (size_t)MEMBER_BODY_MAX);
-    EXPECT_GT(net->longest, (size_t)MEMBER_BODY_MAX / 2);
+    EXPECT_LE(net->longest_body, (size_t)MEMBER_BODY_MAX);
+    EXPECT_GT(net->longest_body, (size_t)MEMBER_BODY_MAX / 2);
 }
 
 static void
@@ -588,7 +588,7 @@
 // Any schedule of faults, then quiet: all that live agree, none of them stays
 // suspected, no version went back, and the newest is everywhere.
 static void
-fault(Net &net)
+inject_fault(Net &net)
 {
     int n = (int)net.node.size();
     int i = (int)rng_below(&net.rng, (uint32_t)n);
@@ -599,7 +599,7 @@
         it.up ? net.kill(i) : net.start(i, {(i + 1) % n, (i + 2) % n});
         break;
     case 1:
-        it.paused ? net.wake(i) : (void)(it.paused = it.up);
+        it.paused ? net.resume(i) : (void)(it.paused = it.up);
         break;
     case 2:
         it.side ^= 1;
@@ -608,7 +608,7 @@
         net.loss = rng_below(&net.rng, 30);
         break;
     case 4:
-        net.twice = rng_below(&net.rng, 30);
+        net.duplication = rng_below(&net.rng, 30);
         net.delay = 1 + rng_below(&net.rng, 400);
         break;
     case 5:
@@ -631,32 +631,32 @@
 static void
 settle(Net &net)
 {
-    net.loss = net.twice = 0;
+    net.loss = net.duplication = 0;
     net.delay = 5;
     for (auto &n : net.node) {
         n->side = 0;
         if (n->paused) {
-            net.wake(n->i);
+            net.resume(n->i);
         }
         if (!n->up) {
             net.clock++;
-            net.start(n->i, upto((int)net.node.size()));
+            net.start(n->i, first_n((int)net.node.size()));
         }
     }
     net.run(30000);
 }
 
-RC_GTEST_PROP(Member, AllAgreeAfterAnyFaults, (uint64_t seed))
+RC_GTEST_PROP(Member, MembersAgreeAfterFaults, (uint64_t seed))
 {
     Net net(seed);
     for (int i = 0; i < 7; i++) {
-        net.add(upto(7));
+        net.add(first_n(7));
     }
     uint64_t newest = 0;
     // By owner and life of the view, member and incarnation.
     std::map<std::tuple<int, int, uint64_t, uint32_t>, uint64_t> known;
     for (int step = 0; step < 60; step++) {
-        fault(net);
+        inject_fault(net);
         net.run(rng_below(&net.rng, 3000));
         for (auto &n : net.node) {
             const member_t *list = nullptr;
@@ -666,7 +666,7 @@
             }
             for (size_t j = 0; j < k; j++) {
                 uint64_t &last =
-                    known[{n->i, n->life, list[j].id, list[j].incarnation}];
+                    known[{n->i, n->starts, list[j].id, list[j].incarnation}];
                 RC_ASSERT(list[j].version >= last);
                 last = list[j].version;
             }
@@ -685,10 +685,10 @@
             RC_ASSERT(members_lowest_version(n->m) == newest);
         }
     }
-    RC_ASSERT(net.longest <= (size_t)MEMBER_BODY_MAX);
+    RC_ASSERT(net.longest_body <= (size_t)MEMBER_BODY_MAX);
 }
 
-RC_GTEST_PROP(Member, NoBytesBreakTheReader,
+RC_GTEST_PROP(Member, ReaderHandlesArbitraryBytes,
               (std::vector<uint8_t> b, uint64_t from))
 {
     Net net(1);
@@ -699,7 +699,7 @@
 
 // A body with a byte changed, or cut short: the reader answers with its error
 // or takes the message, and the instance goes on.
-RC_GTEST_PROP(Member, NoDamagedMessageBreaksTheReader, (uint64_t seed))
+RC_GTEST_PROP(Member, ReaderHandlesDamagedMessages, (uint64_t seed))
 {
     Net net(seed);
     net.add({1});
@@ -708,14 +708,14 @@
     victim.side = 1; // what it answers goes nowhere
     for (int i = 0; i < 200; i++) {
         net.run(TICK);
-        for (auto &f : net.flight) {
+        for (auto &f : net.in_flight) {
             auto b = f.second.body;
             b[rng_below(&net.rng, (uint32_t)b.size())] =
                 (uint8_t)rng_next(&net.rng);
             b.resize(b.size() - rng_below(&net.rng, 2));
-            int rc =
-                members_receive(victim.m, net.now, named(f.second.from, 0).id,
-                                b.data(), b.size());
+            int rc = members_receive(victim.m, net.now,
+                                     describe(f.second.from, 0).id, b.data(),
+                                     b.size());
             RC_ASSERT(rc == 0 || rc == -EPROTO);
         }
     }
--- a/test/source_test.cc
+++ b/test/source_test.cc
@@ -42,7 +42,7 @@
     }
 };
 
-TEST_F(Sources, WithoutPeersItFollowsTheStore)
+TEST_F(Sources, FollowsTheStoreWithoutPeers)
 {
     addr_t self = at(1, 9);
 
@@ -51,7 +51,7 @@
     EXPECT_EQ(sources_check(&s, now), nullptr);
 }
 
-TEST_F(Sources, AllOfADataCentreFollowTheSameLeader)
+TEST_F(Sources, DataCentreFollowsOneLeader)
 {
     const source_peer_t *p = lead();
     addr_t leader;
@@ -80,7 +80,7 @@
 
 /* The leader dies.  The next in rank is followed at once; the dead one is
  * tried again after a while, and leads again when it answers. */
-TEST_F(Sources, AFailedLeaderIsPassedOver)
+TEST_F(Sources, FailedLeaderIsSkipped)
 {
     addr_t first = lead()->addr, second;
 
@@ -97,7 +97,7 @@
     EXPECT_TRUE(addr_eq(&lead()->addr, &first));
 }
 
-TEST_F(Sources, WhenNoneAnswersItFollowsTheStore)
+TEST_F(Sources, FollowsTheStoreWhenNoPeerAnswers)
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n);
@@ -108,7 +108,7 @@
 
 /* All announced instances of the data centre are blind: one after the other
  * tells old news and is passed over, and then the store is asked directly. */
-TEST_F(Sources, WhenAllTellOldNewsItFollowsTheStore)
+TEST_F(Sources, FollowsTheStoreWhenAllPeersAreStale)
 {
     int asked = 0;
 
@@ -122,7 +122,7 @@
 
 /* What it follows may be blind.  An announced instance asks the other data
  * centre's leader, whose news come another way. */
-TEST_F(Sources, ChecksGoToTheOtherDataCentresLeader)
+TEST_F(Sources, AnnouncedInstanceChecksWithRemoteLeader)
 {
     addr_t self = at(1, 9);
     sources_add(&s, &self, "dc-a");
@@ -143,7 +143,7 @@
 /* Bytes between data centres are paid for, and a leader has a tenth of a core:
  * what it is asked must not grow with the fleet.  The others ask the announced
  * ones beside their leader, which ask the other data centre. */
-TEST_F(Sources, ThoseNotAnnouncedCheckWithAnnouncedNeighbours)
+TEST_F(Sources, OthersCheckWithAnnouncedNeighbours)
 {
     std::set<std::string> asked;
     char text[ADDR_STRLEN];
@@ -160,7 +160,7 @@
 
 /* None of its neighbours answers but the leader, which may be the blind one.
  */
-TEST_F(Sources, WithoutNeighboursItChecksWithTheOtherDataCentre)
+TEST_F(Sources, ChecksWithRemoteLeaderWithoutNeighbours)
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n);
@@ -173,7 +173,7 @@
 }
 
 /* Its data centre is cut off from the other: it checks with neighbours. */
-TEST_F(Sources, ACutDataCentreChecksWithinItself)
+TEST_F(Sources, ChecksWithNeighboursWhenCutOff)
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(2, n);
@@ -188,7 +188,7 @@
 }
 
 /* Announcements are writes that are paid for: a few of a data centre do. */
-TEST_F(Sources, OnlyAFewAreAnnounced)
+TEST_F(Sources, AnnouncementsPerDataCentreAreLimited)
 {
     addr_t fourth = at(1, 4);
 
@@ -209,7 +209,7 @@
     EXPECT_TRUE(sources_should_announce(&s));
 }
 
-TEST_F(Sources, ASeedIsAskedButDoesNotLead)
+TEST_F(Sources, SeedIsCheckedButNotFollowed)
 {
     addr_t self = at(1, 9), seed = at(3, 1);
 
@@ -253,7 +253,7 @@
 
 /* All instances start at once and know nothing.  Whoever has a peer to ask
  * leaves a long list to it; a seed is the peer that the others ask. */
-TEST_F(Sources, OnlyASeedReadsALongListAtOnce)
+TEST_F(Sources, SeedReadsTheListWithoutDelay)
 {
     sources_t alone, seed;
     addr_t self = at(1, 9);
@@ -269,7 +269,7 @@
 /* All instances are killed and start again.  The announced ones are those that
  * the others of their data centre ask: if they too left the list to one
  * another, nobody would read it. */
-TEST_F(Sources, AnAnnouncedInstanceReadsALongListAtOnce)
+TEST_F(Sources, AnnouncedInstanceReadsTheListWithoutDelay)
 {
     addr_t self = at(1, 9);
 
@@ -279,7 +279,7 @@
 
 /* Announced neighbours may be starting themselves and know nothing; a seed in
  * another data centre may know already. */
-TEST_F(Sources, AtItsStartItAsksSeedsToo)
+TEST_F(Sources, StartRequestsGoToSeedsToo)
 {
     addr_t seed = at(3, 1);
     int asked = 0;
@@ -294,7 +294,7 @@
 
 /* Peers that start with it know nothing yet.  One of them will be the first to
  * know: left alone for seconds like a dead one, it would tell nobody. */
-TEST_F(Sources, APeerThatIsStartingIsAskedAgain)
+TEST_F(Sources, StartingPeerGetsNoBackoff)
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n), b = at(2, n);
@@ -316,7 +316,7 @@
 }
 
 /* Their peers may all be down: then they read the list, not all at once. */
-TEST_F(Sources, TheListIsLeftForTimesThatDiffer)
+TEST_F(Sources, ListDelayHasJitter)
 {
     ms_t least = 1000000, most = 0;
 
@@ -329,7 +329,7 @@
 }
 
 /* Bytes between data centres are paid for. */
-TEST_F(Sources, AtItsStartItAsksItsOwnDataCentreFirst)
+TEST_F(Sources, StartPrefersOwnDataCentre)
 {
     std::set<std::string> asked;
     char text[ADDR_STRLEN];
@@ -432,7 +432,7 @@
 
 /* Guards against: a watcher that is blind and doesn't know it, and all who
  * follow it. */
-TEST_F(Watchers, ALeaderAsksTheWatcherThatItDoesNotFollow)
+TEST_F(Watchers, LeaderChecksWithTheOtherWatcher)
 {
     for (int i : other_leaders()) {
         const source_peer_t *p = sources_check(&s[(size_t)i], now);
@@ -445,7 +445,7 @@
 
 /* Guards against: a walk through all leaders when data centres lose each
  * other. */
-TEST_F(Watchers, ALeaderThatAWatcherFailsFollowsTheStore)
+TEST_F(Watchers, LeaderFollowsTheStoreWhenItsWatcherFails)
 {
     int i = other_leaders()[0];
     addr_t watcher = at(lead(i));
@@ -461,7 +461,7 @@
 
 /* Guards against: hundreds that watch the store after the first start, until
  * somebody of their data centre is announced. */
-TEST_F(Watchers, WithoutALocalPeerItFollowsAWatcher)
+TEST_F(Watchers, FollowsAWatcherWithoutLocalPeers)
 {
     sources_t mine;
     addr_t self = address("10.9.0.1:8000"), first = address("10.9.0.2:8000");
@@ -485,7 +485,7 @@
 
 /* Guards against: a circle of leaders that follow each other, none of which
  * hears of the store, whichever peers have failed whom. */
-TEST_F(Watchers, NoCircleArises)
+TEST_F(Watchers, LeadersNeverFormACycle)
 {
     rng_t rng = {5, 0};
 
@@ -510,7 +510,7 @@
 
 /* The leader has no place: it names a relay, which is followed until it fails.
  * Its failure says nothing of the leader. */
-TEST_F(Sources, SentOnItFollowsTheRelayUntilThatFails)
+TEST_F(Sources, FollowsTheRelayUntilItFails)
 {
     addr_t leader = lead()->addr, relay = at(1, 77);
 
@@ -524,7 +524,7 @@
 }
 
 /* The announced instances would be asked by all of a data centre. */
-TEST_F(Sources, BelowARelayOthersAreAskedRarely)
+TEST_F(Sources, ChecksAreRarerBelowARelay)
 {
     addr_t relay = at(1, 77);
     ms_t leaders = sources_check_ms(&s);
@@ -536,7 +536,7 @@
 }
 
 /* While leaders change, instances may send one another on for ever. */
-TEST_F(Sources, SentOnAgainAndAgainItStartsAtTheLeader)
+TEST_F(Sources, TooManyRedirectsRestartAtTheLeader)
 {
     addr_t leader = lead()->addr;
     int rc = 0, times = 0;
@@ -556,7 +556,7 @@
     }
 }
 
-TEST_F(Sources, ItIsNotSentToItself)
+TEST_F(Sources, RedirectToSelfIsRefused)
 {
     addr_t self = at(1, 9);
 
@@ -568,7 +568,7 @@
 
 /* The leader dies, and this one is the next: it follows the store, and not the
  * relay, which may be one of its own followers by now. */
-TEST_F(Sources, ALeaderFollowsNoRelay)
+TEST_F(Sources, LeaderFollowsNoRelay)
 {
     addr_t relay = at(1, 77), self = at(1, 9);
 
@@ -629,7 +629,7 @@
 
 /* 900 instances ask one: nobody answers more than 32, and nobody is further
  * than four levels away. */
-TEST_F(Tree, EachAnswersAFew)
+TEST_F(Tree, FollowersPerInstanceAreLimited)
 {
     for (int i = 1; i < SIZE; i++) {
         EXPECT_LE(descend(i), 4) << i;
@@ -637,7 +637,7 @@
     EXPECT_EQ(followers_count(&of[0], now), MOST);
 }
 
-TEST_F(Tree, AFollowerKeepsItsPlace)
+TEST_F(Tree, FollowerKeepsItsPlace)
 {
     for (int i = 1; i <= 40; i++) {
         descend(i);
@@ -650,7 +650,7 @@
 
 /* A follower dies.  Others are sent to it, and come back, until its place is
  * free. */
-TEST_F(Tree, AGoneFollowersPlaceIsTaken)
+TEST_F(Tree, PlaceOfGoneFollowerIsReused)
 {
     addr_t instead, late = at(99);
 
