--- a/test/member_test.cc
+++ b/test/member_test.cc
@@ -1,5 +1,5 @@
-// Membership: scripted failures and random schedules over a tiny switch that
-// loses, delays, doubles and cuts messages.
+// Membership tests: scripted failures and random schedules over a simulated
+// network that loses, delays, duplicates and partitions messages.
 #include "member/member.h"
 #include "wire/wire.h"
 
@@ -16,18 +16,18 @@
 
 struct Net;
 
-// One instance.  A stopped one is deaf and mute; a paused one finds its
-// messages waiting when it wakes.
+// A simulated instance.  A stopped one neither sends nor receives; a paused
+// one receives its queued messages on resume.
 struct Node {
     Net *net;
-    int i;          // its place, which is its address
-    int name_index; // its name
+    int i;          // index, also the address
+    int name_index; // number in the name
     members_t *m;
     bool up = true, paused = false;
-    int side = 0; // of a partition
+    int side = 0; // of a network partition
     int starts = 0;
     uint64_t version = 0;
-    std::set<uint64_t> fetch_sources; // peers that a fetch named
+    std::set<uint64_t> fetch_sources;
     int fetches = 0;
     std::vector<std::vector<uint8_t>> queue;
     std::vector<uint64_t> queue_from;
@@ -63,7 +63,7 @@
     ms_t now = 1000;
     rng_t rng;
     uint32_t loss = 0, duplication = 0; // percent
-    uint32_t delay = 5;                 // most, ms
+    uint32_t delay = 5;                 // limit, ms
     bool serve = true;                  // fetches succeed
     size_t longest_body = 0;
     uint32_t clock = 1000; // the wall clock, seconds
@@ -217,7 +217,7 @@
         }
     }
 
-    // The state of OF in the eyes of I; GONE when unknown.
+    // The state of OF in the view of I; GONE when unknown.
     member_state_t
     state(int i, int of)
     {
@@ -260,7 +260,7 @@
         return false;
     }
 
-    // How many live instances see OF in STATE.
+    // The number of running instances with OF in state S.
     int
     seen(int of, member_state_t s)
     {
@@ -324,10 +324,10 @@
     }
 }
 
-// An instance joins with the address of one peer, which confirms at once that
-// it knows the newcomer.  If it served now, it would hold itself and that peer
-// for the only homes, and take flows that have theirs.  It has to know all
-// members, and all of them it, before it is ACTIVE.
+// Guards against a joining instance that takes flows with other owners: it
+// joins with the address of one peer, which acknowledges it at once, and would
+// assume that the two own all flows.  It must know all members, and all of
+// them must know it, before it is ACTIVE.
 TEST(Member, JoiningInstanceKnowsAllBeforeActive)
 {
     for (uint64_t seed = 20; seed < 40; seed++) {
@@ -344,9 +344,10 @@
     }
 }
 
-// An instance is killed.  Whoever pings it next gets no answer, asks two
-// others, and suspects it; gossip tells all within seconds.  It stays a doubt
-// until two readings of the platform's list, gone_ms apart, are without it.
+// An instance is killed.  The next member that pings it gets no answer, sends
+// two ping-reqs and suspects it; gossip reaches all members within seconds. It
+// stays SUSPECT, and ownership uncertain, until two readings of the platform's
+// list, gone_ms apart, are without it.
 TEST(Member, KilledInstanceIsSuspectedThenGone)
 {
     auto net = fleet(8, 3);
@@ -371,8 +372,8 @@
     EXPECT_TRUE(net->uncertain(0, 6000));
 }
 
-// The platform is out of reach after one reading without the dead instance:
-// however long that lasts, nobody calls the instance gone, for the reading is
+// The platform becomes unreachable after one reading without the dead
+// instance. The instance never becomes GONE meanwhile, since that reading is
 // as old as the outage.
 TEST(Member, OneReadingOfTheListConfirmsNothing)
 {
@@ -389,8 +390,9 @@
     EXPECT_EQ(2, net->seen(2, MEMBER_SUSPECT));
 }
 
-// An instance leaves: LEAVING, then its farewell.  Nobody suspects it and
-// there is no doubt, for it has handed over what it alone knew.
+// An instance leaves cleanly: LEAVING, then GONE.  It is never suspected, and
+// ownership stays certain, since it has handed over the state that only it
+// had.
 TEST(Member, CleanLeaveKeepsOwnershipCertain)
 {
     auto net = fleet(8, 5);
@@ -408,13 +410,13 @@
     }
 }
 
-// An instance is stopped for 10 s and wakes with unanswered pings and a full
-// receive queue.  It suspects nobody, knows at once that it may have been
-// suspected, learns from the echoes that it was, and refutes that.
+// An instance is paused for 10 s and resumes with unanswered pings and a full
+// receive queue.  It must suspect no member, treat ownership as uncertain at
+// once, learn of the suspicion from the echoes, and refute it.
 TEST(Member, PausedInstanceRefutesSuspicion)
 {
     auto net = fleet(8, 6);
-    while (!net->sending(4)) { // until a ping of its own is on its way
+    while (!net->sending(4)) { // until one of its pings is in flight
         net->run(TICK);
     }
     net->node[4]->paused = true;
@@ -430,9 +432,9 @@
     EXPECT_EQ(1u, net->stats(4).refuted);
 }
 
-// An instance is killed and started again under its name before anyone has
-// missed it.  What the earlier life alone knew is lost, so that each peer
-// must have a doubt though it never saw the instance silent.
+// An instance is killed and restarted under its name before it is suspected.
+// State that only the earlier incarnation had is lost, so ownership must
+// become uncertain at each peer although none has suspected it.
 TEST(Member, RestartIsDetectedByIncarnation)
 {
     auto net = fleet(8, 7);
@@ -447,9 +449,9 @@
 }
 
 // An instance dies and its address passes to a new one under another name.
-// Peers go on looking for the dead one there; the newcomer must not take their
-// suspicion for its own (seen before: it refuted each second and never became
-// ACTIVE, for each refutation has to be confirmed again by all).
+// Peers continue to ping the dead one there.  Guards against a new instance
+// that applies their suspicion to itself: it refuted each second and never
+// became ACTIVE, since all members must acknowledge each refutation again.
 TEST(Member, NewInstanceAtADeadInstancesAddress)
 {
     auto net = fleet(8, 14);
@@ -464,8 +466,9 @@
     EXPECT_LT(30u, net->stats(7).misaddressed); // 7 peers, one a second
 }
 
-// The wall clock goes back between two lives: the new one looks older than
-// what the peers remember.  Their records tell it so, and it rises above.
+// The wall clock goes back between two incarnations, so that the new one is
+// lower than the peers' records.  It must learn this from their records and
+// choose a higher one.
 TEST(Member, RestartWithClockSetBack)
 {
     auto net = fleet(4, 8);
@@ -476,9 +479,9 @@
     EXPECT_EQ(4, net->seen(1, MEMBER_ACTIVE));
 }
 
-// Two data centres are cut off from each other for minutes, longer than it
-// takes to call members gone.  Each side goes on; when the cut heals, the low
-// rate pings of silent members bring the sides together without help.
+// Two data centres are partitioned for longer than the time until members
+// become GONE.  Each side continues; after the partition, the low-rate pings
+// of unreachable members reunite the sides without an operator.
 TEST(Member, PartitionHeals)
 {
     auto net = fleet(9, 9);
@@ -503,9 +506,9 @@
     }
 }
 
-// One instance gets a version; each other one is told by a ping or an answer
-// and asks the teller once.  While the teller can't deliver, others that have
-// the version are asked.
+// One instance gets a version.  Each other instance learns of it from a ping
+// or an acknowledgement and fetches it once from the sender.  While that peer
+// can't deliver, it tries others that have the version.
 TEST(Member, NewestVersionReachesAll)
 {
     auto net = fleet(9, 10);
@@ -541,8 +544,7 @@
     EXPECT_EQ(2, watching[1]);
 }
 
-// With one datagram in a hundred lost, repeated and indirect pings keep every
-// instance from being suspected.
+// With 1% packet loss, repeated and indirect pings prevent false suspicions.
 TEST(Member, PacketLossCausesNoSuspicion)
 {
     auto net = fleet(9, 12);
@@ -553,8 +555,8 @@
     }
 }
 
-// More members than one message holds, with the longest names: the records
-// that don't fit wait, and no body passes the limit.
+// More members than one message holds, with the longest names: records that
+// don't fit wait for later messages, and no body exceeds the limit.
 TEST(Member, BodiesStayUnderTheLimit)
 {
     auto net = std::make_unique<Net>(13);
@@ -585,8 +587,9 @@
     net.kill(n.i);
 }
 
-// Any schedule of faults, then quiet: all that live agree, none of them stays
-// suspected, no version went back, and the newest is everywhere.
+// After a random schedule of faults and a quiet period, all running instances
+// agree, none stays suspected, no version has decreased, and all instances
+// have the newest one.
 static void
 inject_fault(Net &net)
 {
@@ -653,7 +656,7 @@
         net.add(first_n(7));
     }
     uint64_t newest = 0;
-    // By owner and life of the view, member and incarnation.
+    // Key: instance and its start, member and its incarnation.
     std::map<std::tuple<int, int, uint64_t, uint32_t>, uint64_t> known;
     for (int step = 0; step < 60; step++) {
         inject_fault(net);
@@ -697,15 +700,15 @@
     RC_ASSERT(rc == 0 || rc == -EPROTO);
 }
 
-// A body with a byte changed, or cut short: the reader answers with its error
-// or takes the message, and the instance goes on.
+// With a byte of the body changed, or the body truncated, the reader returns
+// its error or accepts the message, and the instance continues.
 RC_GTEST_PROP(Member, ReaderHandlesDamagedMessages, (uint64_t seed))
 {
     Net net(seed);
     net.add({1});
     net.add({0});
     Node &victim = net.add({});
-    victim.side = 1; // what it answers goes nowhere
+    victim.side = 1; // drops its answers
     for (int i = 0; i < 200; i++) {
         net.run(TICK);
         for (auto &f : net.in_flight) {
--- a/test/source_test.cc
+++ b/test/source_test.cc
@@ -1,4 +1,4 @@
-/* Whom an instance follows. */
+/* Tests of the selection of the peer to follow, and of followers. */
 #include "source/source.h"
 #include "test/flow_bed.h"
 
@@ -9,7 +9,8 @@
 #include <string>
 #include <vector>
 
-/* Instances dc-a: 10.0.1.1 to 3, dc-b: 10.0.2.1 to 3; this one is 10.0.1.9. */
+/* Announced peers: 10.0.1.1 to 3 in dc-a, 10.0.2.1 to 3 in dc-b.  The instance
+ * under test is 10.0.1.9. */
 class Sources : public ::testing::Test {
   protected:
     sources_t s;
@@ -78,8 +79,8 @@
     }
 }
 
-/* The leader dies.  The next in rank is followed at once; the dead one is
- * tried again after a while, and leads again when it answers. */
+/* When the leader fails, the next in rank is followed at once.  The failed one
+ * is tried again after the backoff, and leads again when it answers. */
 TEST_F(Sources, FailedLeaderIsSkipped)
 {
     addr_t first = lead()->addr, second;
@@ -92,7 +93,7 @@
     EXPECT_TRUE(addr_eq(&lead()->addr, &first));
     sources_failed(&s, now, &first);
     now += 1600;
-    EXPECT_TRUE(addr_eq(&lead()->addr, &second)); /* left alone for longer */
+    EXPECT_TRUE(addr_eq(&lead()->addr, &second)); /* the backoff has doubled */
     sources_answered(&s, &first);
     EXPECT_TRUE(addr_eq(&lead()->addr, &first));
 }
@@ -106,8 +107,8 @@
     EXPECT_EQ(lead(), nullptr);
 }
 
-/* All announced instances of the data centre are blind: one after the other
- * tells old news and is passed over, and then the store is asked directly. */
+/* All announced instances of the data centre have stale data: each is skipped
+ * in turn, and then the store is followed directly. */
 TEST_F(Sources, FollowsTheStoreWhenAllPeersAreStale)
 {
     int asked = 0;
@@ -120,8 +121,8 @@
     EXPECT_EQ(asked, 3);
 }
 
-/* What it follows may be blind.  An announced instance asks the other data
- * centre's leader, whose news come another way. */
+/* The followed peer may have stale data.  An announced instance checks with
+ * the other data centre's leader, which gets updates by another path. */
 TEST_F(Sources, AnnouncedInstanceChecksWithRemoteLeader)
 {
     addr_t self = at(1, 9);
@@ -140,9 +141,10 @@
     EXPECT_FALSE(addr_eq(&sources_check(&s, now)->addr, &leader));
 }
 
-/* Bytes between data centres are paid for, and a leader has a tenth of a core:
- * what it is asked must not grow with the fleet.  The others ask the announced
- * ones beside their leader, which ask the other data centre. */
+/* Traffic between data centres is paid for, and a leader has a tenth of a
+ * core, so the number of checks must not grow with the fleet.  The other
+ * instances check with announced neighbours other than their leader, and these
+ * check with the other data centre. */
 TEST_F(Sources, OthersCheckWithAnnouncedNeighbours)
 {
     std::set<std::string> asked;
@@ -158,7 +160,7 @@
     EXPECT_EQ(asked.size(), 2u);
 }
 
-/* None of its neighbours answers but the leader, which may be the blind one.
+/* Only the leader answers in its data centre, and that may be the stale one.
  */
 TEST_F(Sources, ChecksWithRemoteLeaderWithoutNeighbours)
 {
@@ -172,7 +174,7 @@
     EXPECT_STREQ(sources_check(&s, now)->data_centre, "dc-b");
 }
 
-/* Its data centre is cut off from the other: it checks with neighbours. */
+/* Its data centre is cut off from the other. */
 TEST_F(Sources, ChecksWithNeighboursWhenCutOff)
 {
     for (int n = 1; n <= 3; n++) {
@@ -187,7 +189,8 @@
     }
 }
 
-/* Announcements are writes that are paid for: a few of a data centre do. */
+/* Announcements are writes that are paid for: a few per data centre suffice.
+ */
 TEST_F(Sources, AnnouncementsPerDataCentreAreLimited)
 {
     addr_t fourth = at(1, 4);
@@ -229,8 +232,8 @@
     EXPECT_EQ(s.n, (uint32_t)SOURCE_PEERS_MAX);
 }
 
-/* Guards against: slow links that hand the list to hundreds of others after
- * the loss of all, with fast ones beside them. */
+/* Guards against slow links that carry the list to hundreds of instances after
+ * a loss of all instances, although instances with fast links are there. */
 TEST_F(Sources, SlowLinksAnnounceLater)
 {
     ms_t fast_last = 0, slow_first = 1000000, slow_last = 0;
@@ -251,8 +254,9 @@
     EXPECT_GT(slow_last - slow_first, 3000);
 }
 
-/* All instances start at once and know nothing.  Whoever has a peer to ask
- * leaves a long list to it; a seed is the peer that the others ask. */
+/* All instances start together without data.  An instance with a peer waits
+ * for the peer to deliver a long list; a seed is the peer that the others ask,
+ * so it must not wait. */
 TEST_F(Sources, SeedReadsTheListWithoutDelay)
 {
     sources_t alone, seed;
@@ -266,9 +270,9 @@
     EXPECT_EQ(sources_resync_delay_ms(&seed), 0);
 }
 
-/* All instances are killed and start again.  The announced ones are those that
- * the others of their data centre ask: if they too left the list to one
- * another, nobody would read it. */
+/* All instances are killed and restart.  The others of a data centre request
+ * the list from the announced ones.  If these also waited for one another, no
+ * instance would read it from the store. */
 TEST_F(Sources, AnnouncedInstanceReadsTheListWithoutDelay)
 {
     addr_t self = at(1, 9);
@@ -277,8 +281,8 @@
     EXPECT_EQ(sources_resync_delay_ms(&s), 0);
 }
 
-/* Announced neighbours may be starting themselves and know nothing; a seed in
- * another data centre may know already. */
+/* Announced neighbours may be starting without data too, while a seed in
+ * another data centre may have the data already. */
 TEST_F(Sources, StartRequestsGoToSeedsToo)
 {
     addr_t seed = at(3, 1);
@@ -292,8 +296,9 @@
     EXPECT_LT(asked, 90);
 }
 
-/* Peers that start with it know nothing yet.  One of them will be the first to
- * know: left alone for seconds like a dead one, it would tell nobody. */
+/* Peers that start at the same time have no data yet, and one of them will be
+ * the first to get it.  Guards against a backoff of seconds, as for a dead
+ * peer, in which no instance would request the data from it. */
 TEST_F(Sources, StartingPeerGetsNoBackoff)
 {
     for (int n = 1; n <= 3; n++) {
@@ -315,7 +320,8 @@
     EXPECT_NE(sources_start(&s, now), nullptr);
 }
 
-/* Their peers may all be down: then they read the list, not all at once. */
+/* Instances whose peers are all down must not read the list at the same time.
+ */
 TEST_F(Sources, ListDelayHasJitter)
 {
     ms_t least = 1000000, most = 0;
@@ -328,7 +334,7 @@
     EXPECT_GT(most - least, 500);
 }
 
-/* Bytes between data centres are paid for. */
+/* Traffic between data centres is paid for. */
 TEST_F(Sources, StartPrefersOwnDataCentre)
 {
     std::set<std::string> asked;
@@ -351,7 +357,7 @@
 
 /* ---- Watchers ---- */
 
-/* Six data centres of three announced instances; as each of them sees it. */
+/* Six data centres of three announced instances, with the state of each. */
 class Watchers : public ::testing::Test {
   protected:
     static constexpr int CENTRES = 6;
@@ -389,7 +395,7 @@
         }
     }
 
-    /* Whom I follows; -1: the store. */
+    /* The peer that instance I follows; -1: the store. */
     int
     lead(int i)
     {
@@ -412,8 +418,8 @@
     }
 };
 
-/* Guards against: a watch of the store for each data centre, each answer of
- * which is paid for. */
+/* Guards against a watch of the store for each data centre: each answer is
+ * paid for. */
 TEST_F(Watchers, TwoInstancesFollowTheStore)
 {
     std::set<int> watchers;
@@ -430,8 +436,8 @@
     }
 }
 
-/* Guards against: a watcher that is blind and doesn't know it, and all who
- * follow it. */
+/* Guards against a watcher that has lost the store without detecting it, and
+ * leaves all its followers with stale data. */
 TEST_F(Watchers, LeaderChecksWithTheOtherWatcher)
 {
     for (int i : other_leaders()) {
@@ -443,8 +449,8 @@
     }
 }
 
-/* Guards against: a walk through all leaders when data centres lose each
- * other. */
+/* Guards against trying all leaders in turn when data centres are partitioned.
+ */
 TEST_F(Watchers, LeaderFollowsTheStoreWhenItsWatcherFails)
 {
     int i = other_leaders()[0];
@@ -459,8 +465,8 @@
     EXPECT_EQ(lead(i), number(watcher));
 }
 
-/* Guards against: hundreds that watch the store after the first start, until
- * somebody of their data centre is announced. */
+/* Guards against hundreds of watches of the store after the first start, until
+ * an instance of the data centre is announced. */
 TEST_F(Watchers, FollowsAWatcherWithoutLocalPeers)
 {
     sources_t mine;
@@ -478,13 +484,13 @@
     EXPECT_TRUE(sources_takes_place(&mine, now));
     EXPECT_EQ(sources_redirected(&mine, &relay), 0);
     EXPECT_TRUE(addr_eq(&sources_lead(&mine, now)->addr, &relay));
-    /* One of its own is announced. */
+    /* An instance of its own data centre is announced. */
     sources_add(&mine, &first, "dc-new");
     EXPECT_TRUE(addr_eq(&sources_lead(&mine, now)->addr, &first));
 }
 
-/* Guards against: a circle of leaders that follow each other, none of which
- * hears of the store, whichever peers have failed whom. */
+/* Guards against a cycle of leaders that follow each other, none of which gets
+ * updates from the store, for any combination of failed peers. */
 TEST_F(Watchers, LeadersNeverFormACycle)
 {
     rng_t rng = {5, 0};
@@ -508,8 +514,8 @@
 
 /* ---- A tree of followers ---- */
 
-/* The leader has no place: it names a relay, which is followed until it fails.
- * Its failure says nothing of the leader. */
+/* A leader without a free place redirects to a relay, which is followed until
+ * it fails.  The relay's failure doesn't count as one of the leader. */
 TEST_F(Sources, FollowsTheRelayUntilItFails)
 {
     addr_t leader = lead()->addr, relay = at(1, 77);
@@ -523,7 +529,9 @@
     EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
 }
 
-/* The announced instances would be asked by all of a data centre. */
+/* Otherwise all instances of a data centre would check with the announced
+ * ones.
+ */
 TEST_F(Sources, ChecksAreRarerBelowARelay)
 {
     addr_t relay = at(1, 77);
@@ -535,7 +543,7 @@
     EXPECT_EQ(sources_check_ms(&s), leaders);
 }
 
-/* While leaders change, instances may send one another on for ever. */
+/* Guards against endless redirects while the leader changes. */
 TEST_F(Sources, TooManyRedirectsRestartAtTheLeader)
 {
     addr_t leader = lead()->addr;
@@ -548,7 +556,7 @@
     EXPECT_EQ(rc, -ELOOP);
     EXPECT_LT(times, 20);
     EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
-    /* An answer shows that there was no circle. */
+    /* An answer shows that there is no cycle, and resets the limit. */
     for (times = 0; times < 100; times++) {
         addr_t to = at(1, 50 + times % 2);
         EXPECT_EQ(sources_redirected(&s, &to), 0);
@@ -566,8 +574,8 @@
     EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
 }
 
-/* The leader dies, and this one is the next: it follows the store, and not the
- * relay, which may be one of its own followers by now. */
+/* The leader dies and this instance succeeds it.  It must follow the store,
+ * not its relay, which may be one of its own followers by now. */
 TEST_F(Sources, LeaderFollowsNoRelay)
 {
     addr_t relay = at(1, 77), self = at(1, 9);
@@ -581,8 +589,8 @@
     EXPECT_EQ(lead(), nullptr);
 }
 
-/* Instances of one data centre find their places, each starting at the leader
- * (10.0.1.0) and going where it is sent. */
+/* The instances of one data centre find places, each starting at the leader
+ * (number 0) and following redirects. */
 class Tree : public ::testing::Test {
   protected:
     static constexpr int SIZE = 900;
@@ -611,7 +619,7 @@
         }
     }
 
-    /* The levels that WHO goes down. */
+    /* The level at which WHO gets a place. */
     int
     descend(int who)
     {
@@ -627,8 +635,8 @@
     }
 };
 
-/* 900 instances ask one: nobody answers more than 32, and nobody is further
- * than four levels away. */
+/* Of 900 instances, none serves more than 32 followers, and none is more than
+ * four levels from the leader. */
 TEST_F(Tree, FollowersPerInstanceAreLimited)
 {
     for (int i = 1; i < SIZE; i++) {
@@ -648,8 +656,9 @@
     }
 }
 
-/* A follower dies.  Others are sent to it, and come back, until its place is
- * free. */
+/* After a follower's death, others are redirected to it, and return, until its
+ * place expires.
+ */
 TEST_F(Tree, PlaceOfGoneFollowerIsReused)
 {
     addr_t instead, late = at(99);
