--- a/member/members.c
+++ b/member/members.c
@@ -10,7 +10,7 @@
 #define UNREACHABLE_EVERY 5  /* pings per ping of an unreachable member */
 #define ANTI_ENTROPY_EVERY 4 /* pings per anti-entropy record */
 #define SPREAD_PER_PERIOD 8  /* extra pings after a change of self's state */
-#define SPREAD_SCAN_MAX 64   /* members examined for an extra ping */
+#define SPREAD_SCAN_MAX 64   /* members examined for these */
 #define VERSION_FANOUT 3     /* extra pings when a version comes in force */
 #define PICK_TRIES 8         /* attempts to find a random alive member */
 #define SWEEP_MS 60000       /* period of the removal of GONE members */
@@ -325,7 +325,7 @@
 void
 members_tick(members_t *m, ms_t now)
 {
-    if (m->last_tick == MS_NEVER) { /* first tick: spread the pings of peers */
+    if (m->last_tick == MS_NEVER) { /* stagger the instances */
         m->last_tick = now;
         m->next_ping = now + rng_below(&m->rng, (uint32_t)m->params.period_ms);
         m->next_sweep = now + SWEEP_MS;
@@ -477,8 +477,7 @@
         return -EPROTO;
     }
     /* When a dead instance's address has passed to this one, members (also
-     * self) still ping the dead instance there: their echo isn't about self.
-     */
+     * self) still send messages for the dead instance here: drop them. */
     if (head.echo.id != m->self_id || from == m->self_id) {
         m->stats.misaddressed++;
         return 0;
