--- a/source/source.c
+++ b/source/source.c
@@ -1,47 +1,50 @@
-/* Whom an instance follows: see source.h. */
+/* Selection of the peer to follow: see source.h. */
 #include "source/source.h"
 
 #include <errno.h>
 #include <string.h>
 
-/* Backoff of a failed peer: exponential.  The first is short: most failures
- * are restarts, which take a second or two. */
-#define FAILED_MIN_MS 1500
-#define FAILED_MAX_MS 12000
-/* Delay before an instance that starts reads a long list itself, with jitter:
- * its peers may have it by then, and those whose peers are all down must not
- * read it all at once. */
+/* Exponential backoff of a failed peer.  The first is short: most failures are
+ * restarts, which take a second or two. */
+#define FAILURE_BACKOFF_MIN_MS 1500
+#define FAILURE_BACKOFF_MAX_MS 12000
+/* Delay before a starting instance reads a long list from the store: a peer
+ * may have it by then.  The jitter keeps instances whose peers are all down
+ * from reading it at the same time. */
 #define RESYNC_DELAY_MIN_MS 800
-#define RESYNC_SPREAD_MS 800
+#define RESYNC_JITTER_MS 800
 
-/* Instances that start together wait for times that differ before they
- * announce themselves: by then they see that enough others are announced. */
-#define ANNOUNCE_SPREAD_MS 8000
-/* Those with slower links wait longer, by a part of the spread: the announced
- * ones hand the list to all others when all start together. */
+/* Jitter of the announcement delay: of instances that start together, the
+ * later ones see that enough others are announced. */
+#define ANNOUNCE_JITTER_MS 8000
+/* Instances with slower links wait longer, by a part of the jitter: when all
+ * start together, the announced ones send the list to all others. */
 #define FAST_LINK_MBPS 100
-#define SLOW_LINK_WAIT_MS (ANNOUNCE_SPREAD_MS / 2)
+#define SLOW_LINK_DELAY_MS (ANNOUNCE_JITTER_MS / 2)
 
-/* Seeds are known to all from the start, and are the first. */
-#define SEED_SPREAD_MS 500
+/* Seeds announce themselves first: all instances know them from the settings.
+ */
+#define SEED_JITTER_MS 500
 
-/* Hop limit: leaders may briefly follow each other during a change.  With
- * places for 32 followers, a tree of three levels holds 32,768 instances. */
+/* Limit of consecutive redirects: leaders may briefly follow each other during
+ * a change.  With 32 follower places, a tree of three levels holds 32,768
+ * instances. */
 #define HOPS_MAX 8
 
-/* Leaders that follow the store.  Two: one that is cut off or turned away is
- * found out by those that ask the other. */
+/* Leaders that follow the store.  Two, so that leaders that check with the one
+ * detect that the other is cut off or refused by the store. */
 #define WATCHERS 2
-/* How long a leader follows the store after a watcher has failed it. */
-#define WATCH_MS 6000
+/* Time for which a leader follows the store after its watcher has failed. */
+#define DIRECT_WATCH_MS 6000
 
-/* Period of the questions to peers other than the followed one: short enough
- * that a peer that doesn't answer and a second question fit a change's time.
+/* Period of the checks with peers other than the followed one: short enough
+ * that an unanswered check and a second one fit in the time limit of a change.
+ */
+#define CHECK_PERIOD_MS 700
+/* Period below a relay, which checks more often itself: otherwise all
+ * instances of the data centre would check with the announced ones each time.
  */
-#define CHECK_MS 700
-/* One that follows a relay leaves it to the relay, mostly: the announced ones
- * would be asked by all of the data centre, each time. */
-#define CHECK_RELAYED_MS (8 * CHECK_MS)
+#define CHECK_PERIOD_RELAYED_MS (8 * CHECK_PERIOD_MS)
 
 void
 sources_init(sources_t *s, const addr_t *self, const char *data_centre,
@@ -90,9 +93,9 @@
         return;
     }
     if (strcmp(data_centre, s->data_centre) == 0 && count_local(s) == 0) {
-        s->relayed = false; /* of another data centre */
+        s->relayed = false; /* the relay is in another data centre */
     }
-    if (p == NULL) { /* where there is no room, chance says who goes */
+    if (p == NULL) { /* a full table: replace a random entry */
         p = s->n < SOURCE_PEERS_MAX
                 ? &s->peer[s->n++]
                 : &s->peer[rng_below(&s->rng, SOURCE_PEERS_MAX)];
@@ -122,8 +125,8 @@
     return hash64(a->ip, sizeof(a->ip), a->port);
 }
 
-/* The answering instance of this data centre that ranks first; NULL: it is
- * this one, or there is none. */
+/* Returns the announced instance of lowest rank of this data centre, except
+ * those in backoff; NULL: this instance, or none. */
 static const source_peer_t *
 local_leader(const sources_t *s, ms_t now)
 {
@@ -141,10 +144,10 @@
     return first;
 }
 
-/* The first rank of P's data centre, among those that answer: the others
- * there have what they know from it. */
+/* True when P has the lowest rank of its data centre, except those in backoff:
+ * the other instances there get their data from P. */
 static bool
-leads(const sources_t *s, ms_t now, const source_peer_t *p)
+is_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *q = &s->peer[i];
@@ -157,13 +160,13 @@
 }
 
 static bool
-is_other_leader(const sources_t *s, ms_t now, const source_peer_t *p)
+is_remote_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
     return p->data_centre[0] != '\0' && !is_local(s, p) &&
-           now >= p->failed_until && leads(s, now, p);
+           now >= p->failed_until && is_leader(s, now, p);
 }
 
-/* The other data centres' leaders that rank first; returns how many. */
+/* Finds the other data centres' leaders of lowest rank; returns the number. */
 static uint32_t
 find_watchers(const sources_t *s, ms_t now,
               const source_peer_t *watcher[WATCHERS])
@@ -173,7 +176,7 @@
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
         uint32_t at = n;
-        if (!is_other_leader(s, now, p)) {
+        if (!is_remote_leader(s, now, p)) {
             continue;
         }
         while (at > 0 && rank(&p->addr) < rank(&watcher[at - 1]->addr)) {
@@ -191,8 +194,8 @@
     return n;
 }
 
-/* The watcher that this instance follows, as a leader or because its data
- * centre has no announced instance; NULL: none. */
+/* Returns the watcher that this instance follows, as a leader or because its
+ * data centre has no announced instance; NULL: none. */
 static const source_peer_t *
 followed_watcher(const sources_t *s, ms_t now)
 {
@@ -216,15 +219,15 @@
     source_peer_t *p = find(s, a);
 
     if (watcher != NULL && addr_eq(a, &watcher->addr)) {
-        s->watch_until = now + WATCH_MS;
+        s->watch_until = now + DIRECT_WATCH_MS;
     }
     if (s->relayed && addr_eq(a, &s->relay.addr)) {
         s->relayed = false;
     }
     if (p != NULL) {
-        p->wait = p->wait == 0 ? FAILED_MIN_MS : 2 * p->wait;
-        if (p->wait > FAILED_MAX_MS) {
-            p->wait = FAILED_MAX_MS;
+        p->wait = p->wait == 0 ? FAILURE_BACKOFF_MIN_MS : 2 * p->wait;
+        if (p->wait > FAILURE_BACKOFF_MAX_MS) {
+            p->wait = FAILURE_BACKOFF_MAX_MS;
         }
         p->failed_until = now + p->wait;
     }
@@ -251,7 +254,7 @@
         sources_answered(s, a);
         return;
     case SOURCE_STARTING:
-        return; /* it is asked again: it may be the first to know */
+        return; /* no backoff: it may be the first to have the data */
     case SOURCE_SILENT:
         sources_failed(s, now, a);
         return;
@@ -308,13 +311,14 @@
 ms_t
 sources_check_ms(const sources_t *s)
 {
-    return s->relayed ? CHECK_RELAYED_MS : CHECK_MS;
+    return s->relayed ? CHECK_PERIOD_RELAYED_MS : CHECK_PERIOD_MS;
 }
 
-typedef enum { ANY, NEIGHBOUR, SEED, OTHER_LEADER } kind_t;
+typedef enum { ANY, NEIGHBOUR, SEED, REMOTE_LEADER } source_kind_t;
 
 static bool
-is_kind(const sources_t *s, ms_t now, const source_peer_t *p, kind_t kind)
+is_kind(const sources_t *s, ms_t now, const source_peer_t *p,
+        source_kind_t kind)
 {
     switch (kind) {
     case ANY:
@@ -323,34 +327,36 @@
         return is_local(s, p);
     case SEED:
         return p->data_centre[0] == '\0';
-    case OTHER_LEADER:
-        return is_other_leader(s, now, p);
+    case REMOTE_LEADER:
+        return is_remote_leader(s, now, p);
     }
     return false;
 }
 
-/* One at random of that kind, but not BUT; NULL: there is none that answers.
- */
+/* Returns a random peer of that kind, not EXCEPT and not in backoff; NULL:
+ * none. */
 static const source_peer_t *
-one_of(sources_t *s, ms_t now, kind_t kind, const source_peer_t *but)
+random_peer(sources_t *s, ms_t now, source_kind_t kind,
+            const source_peer_t *except)
 {
-    const source_peer_t *one = NULL;
+    const source_peer_t *chosen = NULL;
     uint32_t n = 0;
 
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
-        if (p == but || now < p->failed_until || !is_kind(s, now, p, kind)) {
+        if (p == except || now < p->failed_until ||
+            !is_kind(s, now, p, kind)) {
             continue;
         }
-        if (rng_below(&s->rng, ++n) == 0) { /* the n-th with chance 1/n */
-            one = p;
+        if (rng_below(&s->rng, ++n) == 0) { /* reservoir sampling, size 1 */
+            chosen = p;
         }
     }
-    return one;
+    return chosen;
 }
 
-/* A leader asks a watcher that it doesn't follow; NULL: it is no leader, or
- * there is none. */
+/* Returns the watcher with which a leader checks, other than the followed one;
+ * NULL: this instance is no leader, or there is none. */
 static const source_peer_t *
 other_watcher(const sources_t *s, ms_t now)
 {
@@ -368,18 +374,18 @@
 sources_check(sources_t *s, ms_t now)
 {
     const source_peer_t *leader = local_leader(s, now);
-    kind_t first = s->announced ? OTHER_LEADER : NEIGHBOUR;
-    kind_t second = s->announced ? NEIGHBOUR : OTHER_LEADER;
+    source_kind_t first = s->announced ? REMOTE_LEADER : NEIGHBOUR;
+    source_kind_t second = s->announced ? NEIGHBOUR : REMOTE_LEADER;
     const source_peer_t *p = other_watcher(s, now);
 
     if (p == NULL) {
-        p = one_of(s, now, first, leader);
+        p = random_peer(s, now, first, leader);
     }
     if (p == NULL) {
-        p = one_of(s, now, second, leader);
+        p = random_peer(s, now, second, leader);
     }
     if (p == NULL) {
-        p = one_of(s, now, ANY, leader);
+        p = random_peer(s, now, ANY, leader);
     }
     return p != NULL ? p : leader;
 }
@@ -387,15 +393,15 @@
 const source_peer_t *
 sources_start(sources_t *s, ms_t now)
 {
-    const source_peer_t *local = one_of(s, now, NEIGHBOUR, NULL);
-    const source_peer_t *seed = one_of(s, now, SEED, NULL);
+    const source_peer_t *local = random_peer(s, now, NEIGHBOUR, NULL);
+    const source_peer_t *seed = random_peer(s, now, SEED, NULL);
 
     if (local != NULL && seed != NULL) {
         return rng_below(&s->rng, 2) == 0 ? local : seed;
     }
     return local != NULL  ? local
            : seed != NULL ? seed
-                          : one_of(s, now, ANY, NULL);
+                          : random_peer(s, now, ANY, NULL);
 }
 
 ms_t
@@ -403,7 +409,7 @@
 {
     return s->seed || s->announced || s->n == 0
                ? 0
-               : RESYNC_DELAY_MIN_MS + rng_below(&s->rng, RESYNC_SPREAD_MS);
+               : RESYNC_DELAY_MIN_MS + rng_below(&s->rng, RESYNC_JITTER_MS);
 }
 
 bool
@@ -418,8 +424,8 @@
     bool slow = link_mbps > 0 && link_mbps < FAST_LINK_MBPS;
 
     if (s->seed) {
-        return rng_below(&s->rng, SEED_SPREAD_MS);
+        return rng_below(&s->rng, SEED_JITTER_MS);
     }
-    return (slow ? SLOW_LINK_WAIT_MS : 0) +
-           rng_below(&s->rng, ANNOUNCE_SPREAD_MS - SLOW_LINK_WAIT_MS);
+    return (slow ? SLOW_LINK_DELAY_MS : 0) +
+           rng_below(&s->rng, ANNOUNCE_JITTER_MS - SLOW_LINK_DELAY_MS);
 }
