--- a/core/core.c
+++ b/core/core.c
@@ -17,12 +17,12 @@
     c->emit = emit;
     c->arg = arg;
     c->rng.seed = p->seed;
-    c->slots = calloc(HOME_SLOTS, sizeof(*c->slots));
+    c->slots = calloc(OWNER_SLOTS, sizeof(*c->slots));
     if (c->slots == NULL || flows_new(c) < 0 || exchanges_new(c) < 0) {
         core_free(c);
         return NULL;
     }
-    c->doubt_at = INT64_MIN / 2;
+    c->uncertain_at = INT64_MIN / 2;
     c->start = c->last_call = -1;
     return c;
 }
@@ -70,7 +70,7 @@
     return (service_ix_t)c->n_services++;
 }
 
-/* How many of its upstreams take a new place (see take_upstream()). */
+/* How many of its upstreams take a new place (see apply_upstream()). */
 static size_t
 new_upstreams(const core_t *c, const conf_service_t *conf)
 {
@@ -126,7 +126,7 @@
 bool
 core_met_elder(const core_t *c)
 {
-    return c->met_elder;
+    return c->met_older;
 }
 
 bool
@@ -143,7 +143,7 @@
 static ms_t
 first_listing(core_t *c)
 {
-    bool in_touch = !c->suspects && c->now - c->doubt_at >= DOUBT_MS;
+    bool in_touch = !c->suspects && c->now - c->uncertain_at >= DOUBT_MS;
     bool known = in_touch;
 
     if (c->first_version) {
@@ -153,7 +153,7 @@
 }
 
 static void
-take_upstream(core_t *c, service_ix_t service, const conf_upstream_t *conf)
+apply_upstream(core_t *c, service_ix_t service, const conf_upstream_t *conf)
 {
     up_ix_t u = up_find_id(c, conf->id);
 
@@ -175,7 +175,7 @@
 }
 
 static void
-take_service(core_t *c, const conf_service_t *conf)
+apply_service(core_t *c, const conf_service_t *conf)
 {
     service_ix_t i = service_find(c, &conf->addr);
     service_t *s = &c->services[i];
@@ -184,7 +184,7 @@
     s->conf.upstreams = NULL;
     s->n_ups = 0;
     for (uint32_t k = 0; k < conf->n_upstreams; k++) {
-        take_upstream(c, i, &conf->upstreams[k]);
+        apply_upstream(c, i, &conf->upstreams[k]);
     }
     table_build(c, i);
 }
@@ -210,7 +210,7 @@
         u->listed = false;
     }
     for (uint32_t i = 0; i < conf->n_services; i++) {
-        take_service(c, &conf->services[i]);
+        apply_service(c, &conf->services[i]);
     }
     return 0;
 }
@@ -226,7 +226,7 @@
 void
 core_tick(core_t *c, ms_t now)
 {
-    enter(c, now);
+    core_enter(c, now);
     if (c->n_services == 0) {
         return;
     }
@@ -254,14 +254,14 @@
 }
 
 static bool
-flow_waits(core_t *c, const flow_t *f)
+flow_unsynced(core_t *c, const flow_t *f)
 {
     uint64_t to;
 
     if (!(f->flags & FLOW_USED) || (f->flags & FLOW_SYNCED)) {
         return false;
     }
-    to = sync_target(c, flow_home_key(c, f));
+    to = sync_target(c, pin_owner_key(c, f));
     return to != 0 && to != c->p.self;
 }
 
@@ -275,7 +275,7 @@
         *exchanges += 1;
     }
     for (uint32_t i = 0; i < c->flow_top; i++) {
-        *pins += flow_waits(mutable_c, &c->flows[i]);
+        *pins += flow_unsynced(mutable_c, &c->flows[i]);
     }
 }
 
@@ -304,7 +304,7 @@
         }
         out[n] = (core_upstream_t){.addr = u->conf.addr,
                                    .draining = u->draining || u->conf_draining,
-                                   .trusted = up_trusted(c, (up_ix_t)i),
+                                   .trusted = up_lease_valid(c, (up_ix_t)i),
                                    .ejected = c->now < u->eject_until,
                                    .epoch = u->epoch,
                                    .in_flight = u->in_flight,
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -5,8 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUFS_SHARE 8 /* records for each buffer */
-#define BUFS_KEPT 4  /* a quarter of the buffers is for new requests */
+#define RECORDS_PER_BUF 8 /* records for each buffer */
+#define FREE_BUFS_DIVISOR                                                     \
+    4 /* a quarter of the buffers is for new requests                         \
+       */
 
 int
 exchanges_new(core_t *c)
@@ -14,7 +16,7 @@
     uint32_t heads = pow2(c->p.max_exchanges);
 
     c->ex_mask = heads - 1;
-    c->n_bufs = c->p.max_exchanges / BUFS_SHARE + 1;
+    c->n_bufs = c->p.max_exchanges / RECORDS_PER_BUF + 1;
     c->ex_bufs = calloc(c->n_bufs, sizeof(*c->ex_bufs));
     c->ex_buf_free = calloc(c->n_bufs, sizeof(*c->ex_buf_free));
     c->exs = calloc(c->p.max_exchanges, sizeof(*c->exs));
@@ -49,7 +51,7 @@
 }
 
 bool
-ex_keep(core_t *c, ex_t *ex, const uint8_t *data, size_t len)
+ex_store(core_t *c, ex_t *ex, const uint8_t *data, size_t len)
 {
     if (len > EX_BUF || (ex->buf == 0 && c->n_buf_free == 0)) {
         return false;
@@ -63,7 +65,7 @@
 }
 
 void
-ex_drop_bytes(core_t *c, ex_t *ex)
+ex_free_buf(core_t *c, ex_t *ex)
 {
     if (ex->buf != 0) {
         c->ex_buf_free[c->n_buf_free++] = ex->buf;
@@ -145,7 +147,7 @@
 /* An answered request keeps its bytes while buffers are plenty; without them
  * a copy is answered by the upstream's duplicate detection. */
 void
-ex_state(core_t *c, ex_t *ex, ex_state_t state)
+ex_set_state(core_t *c, ex_t *ex, ex_state_t state)
 {
     bool stays = is_active(ex->state) && is_active(state);
 
@@ -155,14 +157,14 @@
     }
     list_remove(&ex->in);
     list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->in);
-    if (!is_active(state) && c->n_buf_free < c->n_bufs / BUFS_KEPT) {
-        ex_drop_bytes(c, ex);
+    if (!is_active(state) && c->n_buf_free < c->n_bufs / FREE_BUFS_DIVISOR) {
+        ex_free_buf(c, ex);
     }
 }
 
 /* From the free list, then from the part of the table never used.  0: none. */
 static uint32_t
-take_ex(core_t *c)
+alloc_ex(core_t *c)
 {
     uint32_t i = c->ex_free;
 
@@ -178,7 +180,7 @@
 ex_t *
 ex_add(core_t *c, const dgram_t *d)
 {
-    uint32_t i = take_ex(c);
+    uint32_t i = alloc_ex(c);
     uint32_t *head = &c->ex_heads[d->key & c->ex_mask];
     ex_t *ex;
 
@@ -186,7 +188,7 @@
         return NULL;
     }
     ex = &c->exs[i - 1];
-    *ex = (ex_t){.life = (uint8_t)(ex->life + 1),
+    *ex = (ex_t){.generation = (uint8_t)(ex->generation + 1),
                  .key = d->key,
                  .next = *head,
                  .service = d->service,
@@ -203,7 +205,7 @@
     ex->client = d->h->client;
     ex->token_len = d->m->token_len;
     memcpy(ex->token, d->m->token, sizeof(ex->token));
-    if (!ex_keep(c, ex, d->data, d->len)) {
+    if (!ex_store(c, ex, d->data, d->len)) {
         ex_remove(c, ex);
         return NULL;
     }
@@ -222,7 +224,7 @@
     }
     *link = ex->next;
     list_remove(&ex->in);
-    ex_drop_bytes(c, ex);
+    ex_free_buf(c, ex);
     ex->state = EX_FREE;
     ex->next = c->ex_free;
     c->ex_free = i;
@@ -251,7 +253,7 @@
         return;
     }
     c->ups[ex->up].in_flight--;
-    c->ups[ex->up].finished++;
+    c->ups[ex->up].finished_since_change++;
     *share -= 1;
 }
 
@@ -261,7 +263,7 @@
  * table fills, as long as copies of the request may come, which is what at
  * most once needs. */
 static ms_t
-keep_ms(const core_t *c)
+retention_ms(const core_t *c)
 {
     return c->ex_used > c->p.max_exchanges / 4 * 3 ? DOUBT_MS : EXCHANGE_MS;
 }
@@ -273,7 +275,7 @@
 {
     while (!list_empty(&c->ex_kept)) {
         ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, in);
-        if (c->now - ex->sent < keep_ms(c)) {
+        if (c->now - ex->sent < retention_ms(c)) {
             break;
         }
         ex_remove(c, ex);
--- a/core/flows.c
+++ b/core/flows.c
@@ -58,17 +58,17 @@
 {
     f->last = (uint32_t)((c->now - c->start) / TENTH_MS);
     if (f->feed != 0) {
-        c->feeds[f->feed - 1].heard = c->now;
+        c->feeds[f->feed - 1].last_seen = c->now;
         c->feeds[f->feed - 1].pings = 0;
     }
 }
 
 uint64_t
-flow_home_key(core_t *c, const flow_t *f)
+pin_owner_key(core_t *c, const flow_t *f)
 {
     return f->flags & FLOW_UPLOAD
-               ? work_key(&c->services[f->service], f->key)
-               : flow_group(&c->services[f->service], f->key);
+               ? request_owner_key(&c->services[f->service], f->key)
+               : flow_owner_key(&c->services[f->service], f->key);
 }
 
 static void
@@ -76,7 +76,7 @@
 {
     up_t *u = &c->ups[f->up];
 
-    if (f->flags & FLOW_HELD) {
+    if (f->flags & FLOW_REPLICA) {
         return;
     }
     if (!(f->flags & FLOW_UPLOAD)) {
@@ -92,7 +92,7 @@
 void
 upload_answered(core_t *c, flow_t *f, const coap_msg_t *m)
 {
-    bool last = (f->flags & FLOW_LAST) || m->code >> 5 > 2;
+    bool last = (f->flags & FLOW_LAST_BLOCK) || m->code >> 5 > 2;
 
     if (!(f->flags & FLOW_UPLOAD) || (f->flags & FLOW_ENDED) || !last) {
         return;
@@ -104,7 +104,7 @@
 /* Entries are taken from the free list, then from the part of the table that
  * was never used, whose pages cost no memory until then.  0: none left. */
 static uint32_t
-take_flow(core_t *c)
+alloc_flow(core_t *c)
 {
     uint32_t i = c->flow_free;
 
@@ -116,7 +116,7 @@
 }
 
 static uint32_t
-take_feed(core_t *c)
+alloc_feed(core_t *c)
 {
     uint32_t i = c->feed_free;
 
@@ -133,7 +133,7 @@
 flow_add(core_t *c, uint64_t key, service_ix_t service, up_ix_t up,
          uint8_t flags)
 {
-    uint32_t i = take_flow(c);
+    uint32_t i = alloc_flow(c);
     uint32_t *head = &c->flow_heads[key & c->flow_mask];
     flow_t *f;
 
@@ -145,7 +145,7 @@
     *f = (flow_t){.key = key,
                   .next = *head,
                   .up = up,
-                  .up2 = UP_NONE,
+                  .older_up = UP_NONE,
                   .service = service,
                   .flags = (uint8_t)(FLOW_USED | flags)};
     *head = i;
@@ -158,14 +158,14 @@
 static void
 own(core_t *c, flow_t *f)
 {
-    if (f->flags & FLOW_HELD) {
-        f->flags &= (uint8_t)~FLOW_HELD;
+    if (f->flags & FLOW_REPLICA) {
+        f->flags &= (uint8_t)~FLOW_REPLICA;
         count_pin(c, f, 1);
     }
 }
 
 flow_t *
-flow_own(core_t *c, uint64_t key)
+flow_claim(core_t *c, uint64_t key)
 {
     flow_t *f = flow_find(c, key);
 
@@ -176,7 +176,7 @@
 }
 
 static void
-drop_feed(core_t *c, flow_t *f)
+free_feed(core_t *c, flow_t *f)
 {
     if (f->feed == 0) {
         return;
@@ -194,7 +194,7 @@
     uint32_t *link = &c->flow_heads[f->key & c->flow_mask];
 
     count_pin(c, f, -1);
-    drop_feed(c, f);
+    free_feed(c, f);
     while (*link != i) {
         link = &c->flows[*link - 1].next;
     }
@@ -211,7 +211,7 @@
         return;
     }
     count_pin(c, f, -1);
-    f->up2 = f->flags & FLOW_FEED ? f->up : UP_NONE;
+    f->older_up = f->flags & FLOW_FEED ? f->up : UP_NONE;
     f->up = up;
     f->flags &= (uint8_t)~FLOW_SYNCED;
     count_pin(c, f, 1);
@@ -223,14 +223,15 @@
     feed_t *feed;
 
     if (f->feed == 0) {
-        f->feed = take_feed(c);
+        f->feed = alloc_feed(c);
         if (f->feed == 0) {
             return;
         }
     }
     feed = &c->feeds[f->feed - 1];
-    *feed = (feed_t){
-        .client = d->h->client, .token_len = d->m->token_len, .heard = c->now};
+    *feed = (feed_t){.client = d->h->client,
+                     .token_len = d->m->token_len,
+                     .last_seen = c->now};
     memcpy(feed->token, d->m->token, sizeof(feed->token));
     f->flags |= FLOW_FEED;
 }
@@ -241,7 +242,7 @@
  * notification with an error code.  The caller registers anew at once,
  * instead of watching a picture that stands still. */
 static void
-tell_lost(core_t *c, flow_t *f)
+notify_feed_lost(core_t *c, flow_t *f)
 {
     const feed_t *feed = &c->feeds[f->feed - 1];
     service_t *s = &c->services[f->service];
@@ -265,8 +266,8 @@
 static void
 end_flow(core_t *c, flow_t *f)
 {
-    if (f->feed != 0 && !(f->flags & FLOW_HELD)) {
-        tell_lost(c, f);
+    if (f->feed != 0 && !(f->flags & FLOW_REPLICA)) {
+        notify_feed_lost(c, f);
     }
     flow_remove(c, f);
 }
@@ -286,7 +287,7 @@
 void
 feeds_lost(core_t *c, up_ix_t up)
 {
-    end_flows_of(c, up, FLOW_HELD);
+    end_flows_of(c, up, FLOW_REPLICA);
 }
 
 /* Asks the upstream, as the client, for a sign of life (a CoAP ping, RFC 7252
@@ -301,8 +302,8 @@
     uint8_t buf[16];
     int n;
 
-    if (silent == 0 || !up_trusted(c, f->up) ||
-        c->now - feed->heard < silent + feed->pings * FEED_PING_MS) {
+    if (silent == 0 || !up_lease_valid(c, f->up) ||
+        c->now - feed->last_seen < silent + feed->pings * FEED_PING_MS) {
         return;
     }
     if (feed->pings >= FEED_PINGS) {
@@ -328,11 +329,11 @@
         flow_remove(c, f);
         return;
     }
-    if (home_of(c, flow_home_key(c, f)) == c->p.self) {
+    if (owner_of(c, pin_owner_key(c, f)) == c->p.self) {
         own(c, f); /* so that this home's backup gets it in turn */
     }
     sync_flow(c, f);
-    if (f->flags & FLOW_HELD) {
+    if (f->flags & FLOW_REPLICA) {
         return;
     }
     if (f->feed != 0) {
@@ -397,10 +398,10 @@
     for (up_ix_t u = 0; u < c->n_ups; u++) {
         const up_t *up = &c->ups[u];
 
-        if (up->flows > 0 && up_lost(c, u) && !up_trusted(c, u)) {
+        if (up->flows > 0 && up_lost(c, u) && !up_lease_valid(c, u)) {
             /* The pin of an upload outlives its upstream's silence: it is all
              * that tells that a block is there, and "not run" is false. */
-            end_flows_of(c, u, FLOW_HELD | FLOW_UPLOAD);
+            end_flows_of(c, u, FLOW_REPLICA | FLOW_UPLOAD);
         }
     }
 }
--- a/core/input.c
+++ b/core/input.c
@@ -12,30 +12,31 @@
  * KEY is the flow's or, for requests, the service's.  PINNED: the home before
  * this may have a pin for it. */
 static bool
-to_home(core_t *c, const dgram_t *d, uint64_t key, bool known, bool pinned)
+forward_to_owner(core_t *c, const dgram_t *d, uint64_t key, bool known,
+                 bool pinned)
 {
-    uint64_t home = home_of(c, key);
-    uint64_t earlier;
+    uint64_t owner = owner_of(c, key);
+    uint64_t previous;
 
     if (known) {
         return false;
     }
-    if (home == 0) {
+    if (owner == 0) {
         /* It has just started and knows no home, nor what was done before:
          * the caller's next copy finds an instance that does. */
         c->services[d->service].stats.untrusted++;
         return true;
     }
-    if (home == c->p.self && d->hops >= STEER_HOPS) {
+    if (owner == c->p.self && d->hops >= STEER_HOPS) {
         return false; /* views differ; some home has to decide */
     }
-    if (home != c->p.self) {
-        send_steer(c, d, home);
+    if (owner != c->p.self) {
+        send_to_owner(c, d, owner);
         return true;
     }
-    earlier = pinned ? earlier_home(c, key) : 0;
-    if (earlier != 0 && earlier != c->p.self && earlier != d->from) {
-        send_steer(c, d, earlier);
+    previous = pinned ? previous_owner(c, key) : 0;
+    if (previous != 0 && previous != c->p.self && previous != d->from) {
+        send_to_owner(c, d, previous);
         return true;
     }
     return false;
@@ -51,7 +52,8 @@
         return false;
     }
     u = up_find_id(c, h->upstream);
-    if (u == UP_NONE || c->ups[u].service != d->service || !up_trusted(c, u)) {
+    if (u == UP_NONE || c->ups[u].service != d->service ||
+        !up_lease_valid(c, u)) {
         return false;
     }
     c->services[d->service].stats.hinted++;
@@ -62,51 +64,52 @@
 /* Is F decided on here, even if its home has moved on?  A pin held for another
  * home counts when that home asks, since it doesn't have it. */
 static bool
-flow_mine(core_t *c, const dgram_t *d, const flow_t *f)
+flow_is_local(core_t *c, const dgram_t *d, const flow_t *f)
 {
     bool asked;
 
     if (f == NULL || up_lost(c, f->up)) {
         return false;
     }
-    asked = d->from != 0 && d->from == home_of(c, flow_home_key(c, f));
-    return asked || !(f->flags & FLOW_HELD);
+    asked = d->from != 0 && d->from == owner_of(c, pin_owner_key(c, f));
+    return asked || !(f->flags & FLOW_REPLICA);
 }
 
 static void
 opaque_in(core_t *c, const dgram_t *d)
 {
     flow_t *f = flow_find(c, d->key);
-    bool mine = flow_mine(c, d, f);
+    bool local = flow_is_local(c, d, f);
 
-    if (!mine && home_of(c, d->home) != c->p.self && use_hint(c, d)) {
+    if (!local && owner_of(c, d->owner_key) != c->p.self && use_hint(c, d)) {
         return;
     }
-    if (!to_home(c, d, d->home, mine, true)) {
-        opaque_at_home(c, d);
+    if (!forward_to_owner(c, d, d->owner_key, local, true)) {
+        opaque_at_owner(c, d);
     }
 }
 
 /* An ACK or RST: for a feed the flow's home knows the upstream, for the late
  * answer to a request the service's home does. */
 static void
-empty_in(core_t *c, const dgram_t *d, bool mine)
+empty_in(core_t *c, const dgram_t *d, bool local)
 {
-    uint64_t work;
+    uint64_t request_owner;
     bool answer = ex_find_answer(c, d->key, d->m->mid) != NULL;
 
-    if (!mine && !answer && use_hint(c, d)) {
+    if (!local && !answer && use_hint(c, d)) {
         return;
     }
-    if (to_home(c, d, d->home, mine || answer, true)) {
+    if (forward_to_owner(c, d, d->owner_key, local || answer, true)) {
         return;
     }
-    work = home_of(c, work_key(&c->services[d->service], d->key));
-    if (!mine && !answer && work != 0 && work != c->p.self &&
-        work != d->from) {
-        send_steer(c, d, work);
+    request_owner =
+        owner_of(c, request_owner_key(&c->services[d->service], d->key));
+    if (!local && !answer && request_owner != 0 &&
+        request_owner != c->p.self && request_owner != d->from) {
+        send_to_owner(c, d, request_owner);
     }
-    empty_at_home(c, d);
+    empty_at_owner(c, d);
 }
 
 static void
@@ -114,11 +117,11 @@
 {
     service_t *s = &c->services[d->service];
     flow_t *f = flow_find(c, d->key);
-    bool mine = flow_mine(c, d, f);
+    bool local = flow_is_local(c, d, f);
     bool known;
 
     if (d->m->code == COAP_EMPTY) {
-        empty_in(c, d, mine && !(f->flags & FLOW_UPLOAD));
+        empty_in(c, d, local && !(f->flags & FLOW_UPLOAD));
         return;
     }
     if (!coap_is_request(d->m)) {
@@ -126,29 +129,31 @@
         return;
     }
     if (class_of(d->m) == CLASS_FEED) {
-        if (!to_home(c, d, d->home, mine && !(f->flags & FLOW_UPLOAD), true)) {
-            feed_at_home(c, d);
+        if (!forward_to_owner(c, d, d->owner_key,
+                              local && !(f->flags & FLOW_UPLOAD), true)) {
+            feed_at_owner(c, d);
         }
         return;
     }
     known = ex_find(c, d->key, d->m->mid) != NULL ||
-            (mine && (f->flags & FLOW_UPLOAD));
-    if (!to_home(c, d, work_key(s, d->key), known, is_upload_block(d->m))) {
-        request_at_home(c, d);
+            (local && (f->flags & FLOW_UPLOAD));
+    if (!forward_to_owner(c, d, request_owner_key(s, d->key), known,
+                          is_upload_block(d->m))) {
+        request_at_owner(c, d);
     }
 }
 
 /* After a pause nothing learned before it may be trusted: upstreams may have
  * changed their service, and others have taken this instance for dead. */
 static void
-wake(core_t *c)
+resume_after_pause(core_t *c)
 {
     for (uint32_t i = 0; i < c->n_ups; i++) {
-        c->ups[i].trust_until = c->now;
+        c->ups[i].lease_until = c->now;
         c->ups[i].probe_next = c->now;
-        c->ups[i].misses = 0; /* nobody asked it meanwhile */
+        c->ups[i].probe_misses = 0; /* nobody asked it meanwhile */
     }
-    c->doubt_at = c->now;
+    c->uncertain_at = c->now;
 }
 
 /* Called first by each entry.  A gap in the calls is a pause of this process.
@@ -156,7 +161,7 @@
  * it hears of that: the doubt must start before the first datagram is decided
  * on, not at the next tick. */
 void
-enter(core_t *c, ms_t now)
+core_enter(core_t *c, ms_t now)
 {
     ms_t gap = c->last_call < 0 ? 0 : now - c->last_call;
 
@@ -166,10 +171,10 @@
         c->start = now;
     }
     if (gap > PAUSE_MS) {
-        c->doubt_at = now;
+        c->uncertain_at = now;
     }
     if (gap > TRUST_MS) {
-        wake(c);
+        resume_after_pause(c);
     }
 }
 
@@ -191,7 +196,7 @@
     }
     c->services[service].stats.datagrams_in++;
     d.key = flow_key(&h->service, &h->client);
-    d.home = flow_group(&c->services[service], d.key);
+    d.owner_key = flow_owner_key(&c->services[service], d.key);
     if (c->services[service].conf.proto == PROTO_UDP) {
         opaque_in(c, &d);
         return;
@@ -210,12 +215,12 @@
 {
     spp_t h = {.client = *client, .service = *service};
 
-    enter(c, now);
+    core_enter(c, now);
     datagram_in(c, &h, 0, 0, data, len);
 }
 
 static void
-count_steer(core_t *c, const spp_t *h)
+count_forwarded_in(core_t *c, const spp_t *h)
 {
     service_ix_t i = service_find(c, &h->service);
 
@@ -225,12 +230,12 @@
 }
 
 static void
-want_upstream(core_t *c, uint64_t id, ms_t lease)
+mark_hinted(core_t *c, uint64_t id, ms_t lease)
 {
     up_ix_t u = up_find_id(c, id);
 
     if (u != UP_NONE) {
-        c->ups[u].wanted_until = c->now + lease;
+        c->ups[u].hinted_until = c->now + lease;
     }
 }
 
@@ -239,16 +244,16 @@
 {
     spp_t h;
 
-    enter(c, now);
+    core_enter(c, now);
     switch (m->kind) {
     case PEER_STEER:
         h = (spp_t){.client = m->steer.client, .service = m->steer.service};
-        count_steer(c, &h);
+        count_forwarded_in(c, &h);
         datagram_in(c, &h, m->from, m->steer.hops, m->steer.data,
                     m->steer.len);
         return;
     case PEER_HINT:
-        want_upstream(c, m->hint.upstream, (ms_t)m->hint.lease_ms);
+        mark_hinted(c, m->hint.upstream, (ms_t)m->hint.lease_ms);
         hint_put(c, m->hint.flow, m->hint.upstream, (ms_t)m->hint.lease_ms);
         return;
     case PEER_SYNC:
@@ -320,10 +325,10 @@
 
 /* To a message of this instance itself. */
 static void
-own_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
+handle_own_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
 {
     if (m->token_len == CANCEL_TOKEN_LEN && m->token[0] == CANCEL_TAG) {
-        request_cancelled(c, u, m);
+        request_cancel_reply(c, u, m);
     }
     else if (up_from_probe(c, u, m)) {
         feeds_lost(c, u);
@@ -338,7 +343,7 @@
     spp_t h;
     coap_msg_t m;
 
-    enter(c, now);
+    core_enter(c, now);
     if (u == UP_NONE || spp_read(&h, data, len) < 0) {
         if (c->n_services > 0) {
             c->services[0].stats.malformed++;
@@ -353,7 +358,7 @@
     len -= SPP_LEN;
     if (addr_eq(&h.client, &c->p.own_addr)) {
         if (coap_decode(&m, data, len) == 0) {
-            own_reply(c, u, &m);
+            handle_own_reply(c, u, &m);
         }
         return;
     }
--- a/core/homes.c
+++ b/core/owners.c
@@ -21,9 +21,9 @@
 }
 
 uint64_t
-home_of(core_t *c, uint64_t key)
+owner_of(core_t *c, uint64_t key)
 {
-    return slot_of(c, key)->home;
+    return slot_of(c, key)->owner;
 }
 
 uint64_t
@@ -35,7 +35,7 @@
     if (i == MAP_NONE) {
         return 0;
     }
-    return c->slots[flow_group(&c->services[i], key) >> 52].home;
+    return c->slots[flow_owner_key(&c->services[i], key) >> 52].owner;
 }
 
 uint64_t
@@ -43,7 +43,7 @@
 {
     const slot_t *s = slot_of(c, key);
 
-    return s->home != c->p.self ? s->home : s->backup;
+    return s->owner != c->p.self ? s->owner : s->backup;
 }
 
 bool
@@ -51,7 +51,7 @@
 {
     const slot_t *s = slot_of(c, key);
 
-    return s->home != c->p.self || s->backup_joins;
+    return s->owner != c->p.self || s->backup_joins;
 }
 
 /* Sure: for DOUBT_MS this was the home, all members were heard, and each had
@@ -59,24 +59,24 @@
  * One suspect anywhere ends it: cut off from the others, the suspect takes
  * itself for the home of everything that the fabric hands it. */
 bool
-home_sure(core_t *c, uint64_t key)
+owner_exclusive(core_t *c, uint64_t key)
 {
-    return !c->suspects && c->now - c->doubt_at >= DOUBT_MS &&
+    return !c->suspects && c->now - c->uncertain_at >= DOUBT_MS &&
            c->now - c->start >= DOUBT_MS &&
-           c->now - slot_of(c, key)->home_since >= DOUBT_MS;
+           c->now - slot_of(c, key)->owner_since >= DOUBT_MS;
 }
 
 /* A new home lacks the pins that its predecessor knows, and for a while sends
  * on the datagrams of flows that it doesn't know. */
 uint64_t
-earlier_home(core_t *c, uint64_t key)
+previous_owner(core_t *c, uint64_t key)
 {
     const slot_t *s = slot_of(c, key);
 
-    if (c->now - s->home_since >= DOUBT_MS) {
+    if (c->now - s->owner_since >= DOUBT_MS) {
         return 0;
     }
-    return s->earlier;
+    return s->previous;
 }
 
 static void
@@ -134,7 +134,7 @@
 
 /* Can ID still be asked about what it knew? */
 static bool
-peer_answers(const core_t *c, uint64_t id)
+peer_reachable(const core_t *c, uint64_t id)
 {
     const peer_t *p = peer_find(c, id);
 
@@ -147,18 +147,18 @@
 {
     slot_t *s = &c->slots[i];
     slot_t old = *s;
-    uint64_t home;
+    uint64_t owner;
     ranks_t r;
 
     rank_slot(c, i, &r);
-    home = r.active[0] != NULL ? r.active[0]->id : 0;
-    if (home != s->home) {
-        s->earlier = s->home;
-        s->home = home;
-        s->home_since = c->now;
+    owner = r.active[0] != NULL ? r.active[0]->id : 0;
+    if (owner != s->owner) {
+        s->previous = s->owner;
+        s->owner = owner;
+        s->owner_since = c->now;
     }
-    if (s->earlier != 0 && !peer_answers(c, s->earlier)) {
-        s->earlier = 0;
+    if (s->previous != 0 && !peer_reachable(c, s->previous)) {
+        s->previous = 0;
     }
     s->backup_joins =
         r.joining != NULL &&
@@ -166,25 +166,25 @@
         r.joining->id != c->p.self;
     if (s->backup_joins) {
         s->backup = r.joining->id;
-        c->handing = true;
+        c->handover = true;
     }
-    else if (home == c->p.self) {
+    else if (owner == c->p.self) {
         s->backup = r.active[1] != NULL ? r.active[1]->id : 0;
     }
     else {
-        s->backup = home;
+        s->backup = owner;
     }
-    s->mine =
+    s->may_own =
         r.active[1] == NULL || hash_mix(c->p.self, i) >= r.active_score[1];
-    s->moved = s->home != old.home || s->backup != old.backup ||
-               s->backup_joins != old.backup_joins;
-    return s->moved;
+    s->changed = s->owner != old.owner || s->backup != old.backup ||
+                 s->backup_joins != old.backup_joins;
+    return s->changed;
 }
 
 /* Self refuted a suspicion, or a member restarted without leaving: others took
  * another instance for the home, or records are lost. */
 static bool
-was_doubted(const core_t *c, const member_t *m)
+was_uncertain(const core_t *c, const member_t *m)
 {
     const peer_t *p = peer_find(c, m->id);
 
@@ -206,7 +206,7 @@
 /* Was M there before this instance?  One that starts along with it is first
  * seen JOINING. */
 static bool
-is_elder(const core_t *c, const member_t *m)
+is_older(const core_t *c, const member_t *m)
 {
     return m->id != c->p.self && m->state != MEMBER_JOINING &&
            m->state != MEMBER_GONE && peer_find(c, m->id) == NULL;
@@ -217,7 +217,7 @@
                  ms_t doubt_at, uint64_t lowest)
 {
     peer_t *peers = calloc(n + 1, sizeof(*peers));
-    bool moved = false;
+    bool changed = false;
     bool same;
 
     if (peers == NULL) {
@@ -228,18 +228,18 @@
         c->start = c->last_call = now;
     }
     c->lowest = lowest;
-    c->doubt_at = doubt_at > c->doubt_at ? doubt_at : c->doubt_at;
+    c->uncertain_at = doubt_at > c->uncertain_at ? doubt_at : c->uncertain_at;
     c->suspects = false;
     for (size_t i = 0; i < n; i++) {
         peers[i].id = list[i].id;
         peers[i].incarnation = list[i].incarnation;
         peers[i].state = list[i].state;
         c->suspects |= list[i].state == MEMBER_SUSPECT;
-        if (is_elder(c, &list[i])) {
-            c->met_elder = true;
+        if (is_older(c, &list[i])) {
+            c->met_older = true;
         }
-        if (was_doubted(c, &list[i])) {
-            c->doubt_at = now;
+        if (was_uncertain(c, &list[i])) {
+            c->uncertain_at = now;
         }
     }
     same = n == c->n_peers && c->peers != NULL &&
@@ -250,14 +250,14 @@
     if (same) {
         return 0;
     }
-    c->handing = false;
-    for (uint32_t i = 0; i < HOME_SLOTS; i++) {
-        moved |= slot_update(c, i);
+    c->handover = false;
+    for (uint32_t i = 0; i < OWNER_SLOTS; i++) {
+        changed |= slot_update(c, i);
     }
     for (uint32_t i = 0; i < c->n_services; i++) {
-        service_mine(c, &c->services[i]);
+        service_update_may_own(c, &c->services[i]);
     }
-    if (moved) {
+    if (changed) {
         sync_targets_changed(c);
     }
     return 0;
--- a/core/pins.c
+++ b/core/pins.c
@@ -4,69 +4,69 @@
 #include <string.h>
 
 /* Steered datagrams of a flow, until its hint is sent. */
-#define HINT_AFTER 3
+#define HINT_THRESHOLD 3
 /* So long after a change an unknown flow may be an old one. */
-#define OLD_FLOW_MS 3000
+#define TABLE_CHANGE_GRACE_MS 3000
 
 /* The upstream for a new flow: the less loaded of the two choices.  A home in
  * doubt takes the first, as another home would. */
 static up_ix_t
-choose_flow(core_t *c, service_t *s, uint64_t key)
+choose_for_flow(core_t *c, service_t *s, uint64_t key)
 {
     const bucket_t *b = bucket_of(s, key);
-    bool first = up_eligible(c, b->choice[0]);
-    bool second = up_eligible(c, b->choice[1]);
+    bool first = up_eligible(c, b->candidate[0]);
+    bool second = up_eligible(c, b->candidate[1]);
     uint64_t load1, load2;
 
     if (!first) {
-        return second ? b->choice[1] : up_next(c, s, key, b->choice[0]);
+        return second ? b->candidate[1] : up_next(c, s, key, b->candidate[0]);
     }
-    if (!second || !home_sure(c, flow_group(s, key))) {
-        return b->choice[0];
+    if (!second || !owner_exclusive(c, flow_owner_key(s, key))) {
+        return b->candidate[0];
     }
-    load1 = (uint64_t)c->ups[b->choice[0]].flows *
-            c->ups[b->choice[1]].conf.weight;
-    load2 = (uint64_t)c->ups[b->choice[1]].flows *
-            c->ups[b->choice[0]].conf.weight;
+    load1 = (uint64_t)c->ups[b->candidate[0]].flows *
+            c->ups[b->candidate[1]].conf.weight;
+    load2 = (uint64_t)c->ups[b->candidate[1]].flows *
+            c->ups[b->candidate[0]].conf.weight;
     if (s->conf.prefer == PREFER_STABILITY) {
         /* Each flow on the second choice needs a copy at the backup; taken
          * only when the first is a tenth busier. */
         load2 += load2 / 10 + 1;
     }
-    return load2 < load1 ? b->choice[1] : b->choice[0];
+    return load2 < load1 ? b->candidate[1] : b->candidate[0];
 }
 
 /* An unknown flow of a bucket that changed moments ago, at a home that may
  * have lost its memory, is more likely an old one: it stays where it was. */
 static up_ix_t
-choose_unknown(core_t *c, service_t *s, uint64_t key)
+choose_for_unknown(core_t *c, service_t *s, uint64_t key)
 {
-    up_ix_t old = earlier_first(s, key, c->now - OLD_FLOW_MS);
+    up_ix_t old = previous_first(s, key, c->now - TABLE_CHANGE_GRACE_MS);
 
-    if (old != UP_NONE && !home_sure(c, flow_group(s, key)) &&
-        up_trusted(c, old)) {
+    if (old != UP_NONE && !owner_exclusive(c, flow_owner_key(s, key)) &&
+        up_lease_valid(c, old)) {
         return old;
     }
-    return choose_flow(c, s, key);
+    return choose_for_flow(c, s, key);
 }
 
 static void
 maybe_hint(core_t *c, const dgram_t *d, flow_t *f)
 {
-    if (d->from == 0 || f->up2 != UP_NONE) {
+    if (d->from == 0 || f->older_up != UP_NONE) {
         return; /* two upstreams don't fit a hint */
     }
-    if (f->steers < HINT_AFTER) {
-        f->steers++;
+    if (f->forwards < HINT_THRESHOLD) {
+        f->forwards++;
         return;
     }
     send_hint(c, d->from, f);
 }
 
 void
-to_pin(core_t *c, const dgram_t *d, const flow_t *f, bool own)
+send_to_pin(core_t *c, const dgram_t *d, const flow_t *f, bool own)
 {
-    if (!up_trusted(c, f->up)) {
+    if (!up_lease_valid(c, f->up)) {
         c->services[f->service].stats.untrusted++;
         return;
     }
@@ -74,17 +74,17 @@
 }
 
 void
-opaque_at_home(core_t *c, const dgram_t *d)
+opaque_at_owner(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
-    flow_t *f = flow_own(c, d->key);
+    flow_t *f = flow_claim(c, d->key);
 
     if (f != NULL && up_lost(c, f->up)) {
         flow_remove(c, f);
         f = NULL;
     }
     if (f == NULL) {
-        up_ix_t up = choose_unknown(c, s, d->key);
+        up_ix_t up = choose_for_unknown(c, s, d->key);
         s->stats.requests[CLASS_OPAQUE]++;
         if (up == UP_NONE) {
             s->stats.refused[REFUSE_NONE]++;
@@ -92,8 +92,8 @@
         }
         f = flow_add(c, d->key, d->service, up, 0);
         if (f == NULL) {
-            up = bucket_of(s, d->key)->choice[0];
-            if (up != UP_NONE && up_trusted(c, up)) {
+            up = bucket_of(s, d->key)->candidate[0];
+            if (up != UP_NONE && up_lease_valid(c, up)) {
                 send_upstream(c, up, &d->h->client, false, d->data, d->len);
             }
             return;
@@ -102,7 +102,7 @@
     }
     flow_touch(c, f);
     maybe_hint(c, d, f);
-    to_pin(c, d, f, false);
+    send_to_pin(c, d, f, false);
 }
 
 /* The feed's pin, if it can be used.  Another feed of the same flow doesn't go
@@ -111,7 +111,7 @@
 static flow_t *
 feed_pin(core_t *c, const dgram_t *d)
 {
-    flow_t *f = flow_own(c, d->key);
+    flow_t *f = flow_claim(c, d->key);
     const feed_t *feed;
     up_ix_t up;
 
@@ -129,7 +129,7 @@
     if (memcmp(feed->token, d->m->token, d->m->token_len) == 0) {
         return f;
     }
-    up = choose_flow(c, &c->services[d->service], d->key);
+    up = choose_for_flow(c, &c->services[d->service], d->key);
     if (up != UP_NONE) {
         flow_pin(c, f, up);
     }
@@ -141,12 +141,12 @@
 feed_open(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t up = choose_flow(c, s, d->key);
+    up_ix_t up = choose_for_flow(c, s, d->key);
     flow_t *f = NULL;
 
     s->stats.requests[CLASS_FEED]++;
     if (up == UP_NONE || !up_room(c, up, CLASS_FEED)) {
-        answer_now(c, d, COAP_UNAVAILABLE, come_back(c, s),
+        answer_now(c, d, COAP_UNAVAILABLE, retry_after_s(c, s),
                    up == UP_NONE ? REFUSE_NONE : REFUSE_FULL);
         return NULL;
     }
@@ -163,7 +163,7 @@
 
 /* GET with Observe: opens, refreshes or ends a feed (RFC 7641). */
 void
-feed_at_home(core_t *c, const dgram_t *d)
+feed_at_owner(core_t *c, const dgram_t *d)
 {
     flow_t *f = feed_pin(c, d);
 
@@ -177,7 +177,7 @@
         flow_set_feed(c, f, d);
     }
     flow_touch(c, f);
-    to_pin(c, d, f, false);
+    send_to_pin(c, d, f, false);
 }
 
 /* An ACK, RST or ping goes to the upstream whose message it answers.  When
@@ -187,24 +187,24 @@
 empty_unknown(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t to[CHOICES_MAX];
-    int n = all_choices(c, s, d->key, to);
+    up_ix_t to[CANDIDATES_MAX];
+    int n = all_candidates(c, s, d->key, to);
 
     for (int i = 0; i < n; i++) {
-        if (up_trusted(c, to[i])) {
+        if (up_lease_valid(c, to[i])) {
             send_upstream(c, to[i], &d->h->client, false, d->data, d->len);
         }
     }
 }
 
 void
-empty_at_home(core_t *c, const dgram_t *d)
+empty_at_owner(core_t *c, const dgram_t *d)
 {
     ex_t *ex = ex_find_answer(c, d->key, d->m->mid);
-    flow_t *f = flow_own(c, d->key);
+    flow_t *f = flow_claim(c, d->key);
 
     if (ex != NULL && ex->up != UP_NONE) {
-        if (up_trusted(c, ex->up)) {
+        if (up_lease_valid(c, ex->up)) {
             send_upstream(c, ex->up, &d->h->client, true, d->data, d->len);
         }
         return;
@@ -215,8 +215,8 @@
     }
     flow_touch(c, f);
     maybe_hint(c, d, f);
-    to_pin(c, d, f, false);
-    if (f->up2 != UP_NONE && up_trusted(c, f->up2)) {
-        send_upstream(c, f->up2, &d->h->client, false, d->data, d->len);
+    send_to_pin(c, d, f, false);
+    if (f->older_up != UP_NONE && up_lease_valid(c, f->older_up)) {
+        send_upstream(c, f->older_up, &d->h->client, false, d->data, d->len);
     }
 }
--- a/core/request.c
+++ b/core/request.c
@@ -14,14 +14,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TRIES_MAX 2    /* forwards after the first was shed */
-#define RETRY_FLOOR 10 /* retries allowed whatever the budget */
+#define RETRIES_MAX 2       /* forwards after the first was shed */
+#define RETRY_BUDGET_MIN 10 /* retries allowed whatever the budget */
 #define PERCENT 100
-#define BLOCK_MORE 8        /* RFC 7959 2.2 */
-#define FIRST_PROBE_MS 1000 /* a new upstream is waited for so long */
-#define FENCE_AGAIN_MS 60   /* until a cancellation is sent again */
-#define RETRY_MS 60         /* between cancellations of one request */
-#define RETRY_MAX 6         /* such before giving up */
+#define BLOCK_MORE 8             /* RFC 7959 2.2 */
+#define FIRST_PROBE_WAIT_MS 1000 /* a new upstream is waited for so long */
+#define FENCE_FIRST_RETRY_MS 60  /* until a cancellation is sent again */
+#define FENCE_RETRY_MS 60        /* between cancellations of one request */
+#define FENCE_RETRY_MAX 6        /* such before giving up */
 
 static service_t *
 service_of(core_t *c, const ex_t *ex)
@@ -30,13 +30,13 @@
 }
 
 static bool
-sure_of(core_t *c, const ex_t *ex)
+exclusive_for(core_t *c, const ex_t *ex)
 {
     service_t *s = service_of(c, ex);
 
-    return home_sure(c, work_key(s, ex->key)) &&
+    return owner_exclusive(c, request_owner_key(s, ex->key)) &&
            c->now - s->groups_since >= DOUBT_MS &&
-           !choices_differ(c, s, ex->key);
+           !candidates_differ(c, s, ex->key);
 }
 
 /* ---- Fences ---- */
@@ -44,22 +44,22 @@
 /* Can U be asked about a copy, and would it remember one?  Not when it has
  * restarted since it first got work, which takes it at least TRUST_MS. */
 static bool
-can_ask(const core_t *c, up_ix_t u)
+can_cancel_at(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
     bool forgot = c->now - up->epoch_since < DOUBT_MS &&
                   up->epoch_since - up->listed_since >= TRUST_MS;
 
-    return up_trusted(c, u) && !forgot;
+    return up_lease_valid(c, u) && !forgot;
 }
 
 /* Is one of them new, and has it yet to answer its first probe? */
 static bool
-unproven(const core_t *c, const up_ix_t *at, int n)
+any_unverified(const core_t *c, const up_ix_t *at, int n)
 {
     for (int i = 0; i < n; i++) {
         const up_t *up = &c->ups[at[i]];
-        if (up->listed && !up->verified && !up->refused) {
+        if (up->listed && !up->verified && !up->wrong_service) {
             return true;
         }
     }
@@ -76,21 +76,22 @@
 fence(core_t *c, ex_t *ex)
 {
     service_t *s = service_of(c, ex);
-    up_ix_t at[CHOICES_MAX];
-    int n = all_choices(c, s, ex->key, at);
+    up_ix_t at[CANDIDATES_MAX];
+    int n = all_candidates(c, s, ex->key, at);
 
     ex->n_fence = 0;
-    ex->waiting = unproven(c, at, n) && c->now - ex->sent < FIRST_PROBE_MS;
-    if (ex->waiting) {
-        ex_state(c, ex, EX_FENCING);
+    ex->awaiting_probe =
+        any_unverified(c, at, n) && c->now - ex->sent < FIRST_PROBE_WAIT_MS;
+    if (ex->awaiting_probe) {
+        ex_set_state(c, ex, EX_FENCING);
         return;
     }
     for (int i = 0; i < n; i++) {
-        if (!can_ask(c, at[i])) {
+        if (!can_cancel_at(c, at[i])) {
             end_unknown(c, ex);
             return;
         }
-        if (at[i] != ex->up || ex->refuse_after) {
+        if (at[i] != ex->up || ex->refuse_when_fenced) {
             ex->fence[ex->n_fence++] = at[i];
         }
     }
@@ -98,9 +99,9 @@
         forward(c, ex);
         return;
     }
-    ex_state(c, ex, EX_FENCING);
+    ex_set_state(c, ex, EX_FENCING);
     ex->sent = c->now;
-    ex->retry_at = c->now + FENCE_AGAIN_MS;
+    ex->retry_at = c->now + FENCE_FIRST_RETRY_MS;
     s->stats.fenced++;
     for (int i = 0; i < ex->n_fence; i++) {
         up_cancel(c, ex, ex->fence[i]);
@@ -113,7 +114,8 @@
 send_final(core_t *c, const ex_t *ex)
 {
     uint8_t buf[96];
-    int n = answer_build(c, buf, sizeof(buf), ex, ex->final, ex->come_back);
+    int n = answer_build(c, buf, sizeof(buf), ex, ex->final_code,
+                         ex->retry_after_s);
 
     if (n > 0) {
         send_client(c, ex->service, &ex->client, buf, (size_t)n);
@@ -125,15 +127,15 @@
 answer_final(core_t *c, ex_t *ex, uint8_t code, uint32_t max_age)
 {
     ex_count(c, ex, false);
-    ex->final = code;
-    ex->come_back = max_age;
+    ex->final_code = code;
+    ex->retry_after_s = max_age;
     send_final(c, ex);
     if (ex->idempotent) {
         ex_remove(c, ex);
         return;
     }
-    ex_drop_bytes(c, ex);
-    ex_state(c, ex, EX_REFUSED);
+    ex_free_buf(c, ex);
+    ex_set_state(c, ex, EX_REFUSED);
 }
 
 static void
@@ -149,7 +151,7 @@
     service_t *s = service_of(c, ex);
 
     s->stats.refused[why]++;
-    answer_final(c, ex, COAP_UNAVAILABLE, come_back(c, s));
+    answer_final(c, ex, COAP_UNAVAILABLE, retry_after_s(c, s));
 }
 
 /* "Not run" must stay true.  A sure home refuses by its own word: its record
@@ -158,17 +160,17 @@
 static void
 end_refused(core_t *c, ex_t *ex, refuse_t why)
 {
-    if (ex->idempotent || sure_of(c, ex)) {
+    if (ex->idempotent || exclusive_for(c, ex)) {
         refuse_now(c, ex, why);
         return;
     }
-    if (ex->refuse_after) {
+    if (ex->refuse_when_fenced) {
         end_unknown(c, ex);
         return;
     }
     ex_count(c, ex, false);
-    ex->refuse_after = true;
-    ex->why = why;
+    ex->refuse_when_fenced = true;
+    ex->refuse_reason = why;
     fence(c, ex);
 }
 
@@ -179,11 +181,11 @@
 {
     service_t *s = service_of(c, ex);
 
-    if (!up_trusted(c, ex->up)) {
+    if (!up_lease_valid(c, ex->up)) {
         end_refused(c, ex, REFUSE_NONE);
         return;
     }
-    ex_state(c, ex, EX_SENT);
+    ex_set_state(c, ex, EX_SENT);
     ex->epoch = c->ups[ex->up].epoch;
     ex->sent = c->now;
     s->forwarded++;
@@ -225,12 +227,12 @@
 choose(core_t *c, const ex_t *ex)
 {
     service_t *s = service_of(c, ex);
-    const up_ix_t *choice = bucket_of(s, ex->key)->choice;
+    const up_ix_t *candidate = bucket_of(s, ex->key)->candidate;
 
     if (!ex->idempotent) {
-        return least_loaded(c, choice, CHOICES, choice[0], ex->cls);
+        return least_loaded(c, candidate, CANDIDATES, candidate[0], ex->cls);
     }
-    return least_loaded(c, s->ups, s->n_ups, choice[0], ex->cls);
+    return least_loaded(c, s->ups, s->n_ups, candidate[0], ex->cls);
 }
 
 static bool
@@ -266,7 +268,7 @@
         end_refused(c, ex, any_eligible(c, s) ? REFUSE_FULL : REFUSE_NONE);
         return;
     }
-    if (ex->idempotent || sure_of(c, ex)) {
+    if (ex->idempotent || exclusive_for(c, ex)) {
         forward(c, ex);
         return;
     }
@@ -278,13 +280,13 @@
 found_at(core_t *c, ex_t *ex, up_ix_t u)
 {
     ex->up = u;
-    ex->refuse_after = false;
+    ex->refuse_when_fenced = false;
     ex->found = true;
     forward(c, ex);
 }
 
 static bool
-barred_by_self(const core_t *c, const char *by)
+cancelled_by_self(const core_t *c, const char *by)
 {
     char self[17];
 
@@ -294,15 +296,15 @@
 
 /* Upstream U told what became of the request of EX. */
 static void
-take_fenced(core_t *c, ex_t *ex, up_ix_t u, const char *state, const char *by,
-            uint32_t epoch)
+handle_cancel_state(core_t *c, ex_t *ex, up_ix_t u, const char *state,
+                    const char *by, uint32_t epoch)
 {
     for (int i = 0; i < ex->n_fence; i++) {
         if (ex->fence[i] == u) {
             ex->fence[i] = ex->fence[--ex->n_fence];
         }
     }
-    if (!can_ask(c, u) || c->ups[u].epoch != epoch) {
+    if (!can_cancel_at(c, u) || c->ups[u].epoch != epoch) {
         end_unknown(c, ex);
         return;
     }
@@ -310,16 +312,16 @@
         found_at(c, ex, u);
         return;
     }
-    if (!barred_by_self(c, by)) {
+    if (!cancelled_by_self(c, by)) {
         /* Another home was first here and answers the caller. */
-        ex_state(c, ex, EX_BARRED);
+        ex_set_state(c, ex, EX_CANCELLED);
         return;
     }
     if (ex->n_fence > 0) {
         return;
     }
-    if (ex->refuse_after) {
-        refuse_now(c, ex, ex->why);
+    if (ex->refuse_when_fenced) {
+        refuse_now(c, ex, ex->refuse_reason);
         return;
     }
     forward(c, ex);
@@ -330,9 +332,9 @@
 /* A copy goes only where the first went, and only while that upstream still
  * remembers it. */
 static bool
-copy_to_upstream(core_t *c, const dgram_t *d, const ex_t *ex)
+forward_duplicate(core_t *c, const dgram_t *d, const ex_t *ex)
 {
-    if (!up_trusted(c, ex->up) || c->ups[ex->up].epoch != ex->epoch) {
+    if (!up_lease_valid(c, ex->up) || c->ups[ex->up].epoch != ex->epoch) {
         return false;
     }
     send_upstream(c, ex->up, &ex->client, true, d->data, d->len);
@@ -342,29 +344,29 @@
 /* The port or the ID was used again too early.  The upstream would take it for
  * a copy of the old request and send the old answer. */
 static void
-reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
+refuse_reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
 {
-    bool sure = ex->idempotent || sure_of(c, ex);
+    bool exclusive = ex->idempotent || exclusive_for(c, ex);
 
-    answer_now(c, d, sure ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-               sure ? come_back(c, service_of(c, ex)) : COAP_NONE,
-               sure ? REFUSE_MID_REUSE : REFUSE_UNKNOWN);
+    answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+               exclusive ? retry_after_s(c, service_of(c, ex)) : COAP_NONE,
+               exclusive ? REFUSE_MID_REUSE : REFUSE_UNKNOWN);
 }
 
 static void
-copy_of_known(core_t *c, const dgram_t *d, ex_t *ex)
+handle_duplicate(core_t *c, const dgram_t *d, ex_t *ex)
 {
     bool same = ex->token_len == d->m->token_len &&
                 memcmp(ex->token, d->m->token, ex->token_len) == 0;
 
     if (!same) {
-        reused_mid(c, d, ex);
+        refuse_reused_mid(c, d, ex);
         return;
     }
     service_of(c, ex)->stats.duplicates++;
     switch (ex->state) {
     case EX_REFUSED:
-        if (ex->final == COAP_UNAVAILABLE && !sure_of(c, ex)) {
+        if (ex->final_code == COAP_UNAVAILABLE && !exclusive_for(c, ex)) {
             /* Since it was refused here, another home may have run it. */
             end_unknown(c, ex);
             return;
@@ -376,15 +378,15 @@
             send_client(c, ex->service, &ex->client, ex_bytes(c, ex), ex->len);
             return;
         }
-        if (!copy_to_upstream(c, d, ex)) {
+        if (!forward_duplicate(c, d, ex)) {
             /* It ran, but its answer is lost with the upstream. */
             answer_now(c, d, COAP_GW_TIMEOUT, COAP_NONE, REFUSE_UNKNOWN);
         }
         return;
     case EX_SENT:
-        copy_to_upstream(c, d, ex);
+        forward_duplicate(c, d, ex);
         return;
-    case EX_BARRED:
+    case EX_CANCELLED:
         /* The other home had the time to answer, and the caller asks on. */
         end_unknown(c, ex);
         return;
@@ -406,32 +408,32 @@
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
-    answer_now(c, d, COAP_UNAVAILABLE, come_back(c, &c->services[d->service]),
-               why);
+    answer_now(c, d, COAP_UNAVAILABLE,
+               retry_after_s(c, &c->services[d->service]), why);
 }
 
 /* Opens an upload.  PASSED_ON: its first block was sent to an upstream before.
  * NULL: it was refused. */
 static flow_t *
-upload_open(core_t *c, const dgram_t *d, bool passed_on)
+upload_open(core_t *c, const dgram_t *d, bool already_forwarded)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t first = bucket_of(s, d->key)->choice[0];
+    up_ix_t first = bucket_of(s, d->key)->candidate[0];
     up_ix_t up = first;
-    bool sure = home_sure(c, work_key(s, d->key));
+    bool exclusive = owner_exclusive(c, request_owner_key(s, d->key));
     flow_t *f;
 
     s->stats.requests[CLASS_BULK]++;
-    if (sure) {
+    if (exclusive) {
         up = least_loaded(c, s->ups, s->n_ups, first, CLASS_BULK);
     }
     if (!up_eligible(c, up)) {
-        upload_refuse(c, d, REFUSE_FULL, !sure || passed_on);
+        upload_refuse(c, d, REFUSE_FULL, !exclusive || already_forwarded);
         return NULL;
     }
     f = flow_add(c, d->key, d->service, up, FLOW_UPLOAD);
     if (f == NULL) {
-        upload_refuse(c, d, REFUSE_TABLE, !sure || passed_on);
+        upload_refuse(c, d, REFUSE_TABLE, !exclusive || already_forwarded);
         return NULL;
     }
     sync_flow(c, f);
@@ -443,10 +445,10 @@
 upload_block(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t first = bucket_of(s, d->key)->choice[0];
-    flow_t *f = flow_own(c, d->key);
+    up_ix_t first = bucket_of(s, d->key)->candidate[0];
+    flow_t *f = flow_claim(c, d->key);
     bool first_block = d->m->block1 >> 4 == 0;
-    bool passed_on = f != NULL && !(f->flags & FLOW_ENDED);
+    bool already_forwarded = f != NULL && !(f->flags & FLOW_ENDED);
 
     if (f != NULL && (up_lost(c, f->up) || !(f->flags & FLOW_UPLOAD) ||
                       (first_block && (f->flags & FLOW_ENDED)))) {
@@ -454,7 +456,7 @@
         f = NULL;
     }
     if (f == NULL && first_block) {
-        f = upload_open(c, d, passed_on);
+        f = upload_open(c, d, already_forwarded);
         if (f == NULL) {
             return;
         }
@@ -462,17 +464,18 @@
     if (f != NULL) {
         flow_touch(c, f);
         if (!(d->m->block1 & BLOCK_MORE)) {
-            f->flags |= FLOW_LAST;
+            f->flags |= FLOW_LAST_BLOCK;
         }
-        to_pin(c, d, f, true);
+        send_to_pin(c, d, f, true);
         return;
     }
-    if (home_sure(c, work_key(s, d->key)) || up_lost(c, first)) {
+    if (owner_exclusive(c, request_owner_key(s, d->key)) ||
+        up_lost(c, first)) {
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
     /* A home that died may have had it at the first choice. */
-    if (up_trusted(c, first)) {
+    if (up_lease_valid(c, first)) {
         send_upstream(c, first, &d->h->client, true, d->data, d->len);
     }
 }
@@ -488,11 +491,11 @@
 /* ---- Entry ---- */
 
 void
-request_at_home(core_t *c, const dgram_t *d)
+request_at_owner(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
     ex_t *ex;
-    const ex_t *crossed;
+    const ex_t *same_token;
 
     if (is_upload_block(d->m)) {
         upload_block(c, d);
@@ -500,7 +503,7 @@
     }
     ex = ex_find(c, d->key, d->m->mid);
     if (ex != NULL) {
-        copy_of_known(c, d, ex);
+        handle_duplicate(c, d, ex);
         return;
     }
     s->stats.requests[class_of(d->m)]++;
@@ -508,18 +511,18 @@
         answer_now(c, d, COAP_TOO_LARGE, COAP_NONE, REFUSE_TOO_LARGE);
         return;
     }
-    crossed = ex_find_token(c, d->key, d->m);
+    same_token = ex_find_token(c, d->key, d->m);
     ex = ex_add(c, d);
     if (ex == NULL) {
-        bool sure =
-            home_sure(c, work_key(s, d->key)) || d->m->code == COAP_GET;
-        answer_now(c, d, sure ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-                   sure ? come_back(c, s) : COAP_NONE,
-                   sure ? REFUSE_TABLE : REFUSE_UNKNOWN);
+        bool exclusive = owner_exclusive(c, request_owner_key(s, d->key)) ||
+                         d->m->code == COAP_GET;
+        answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+                   exclusive ? retry_after_s(c, s) : COAP_NONE,
+                   exclusive ? REFUSE_TABLE : REFUSE_UNKNOWN);
         return;
     }
-    if (crossed != NULL && crossed->state != EX_REFUSED &&
-        crossed->state != EX_DONE) {
+    if (same_token != NULL && same_token->state != EX_REFUSED &&
+        same_token->state != EX_DONE) {
         /* The token is that of a request still in progress, of the port's
          * last user perhaps, whose answer would be taken for this one's. */
         end_refused(c, ex, REFUSE_MID_REUSE);
@@ -534,7 +537,7 @@
 retry_allowed(const service_t *s)
 {
     return s->retried <
-           RETRY_FLOOR + s->forwarded * s->conf.retry_percent / PERCENT;
+           RETRY_BUDGET_MIN + s->forwarded * s->conf.retry_percent / PERCENT;
 }
 
 /* The upstream said "not run", or the request is idempotent: another may
@@ -551,8 +554,8 @@
         end_unknown(c, ex); /* it was found there, and now is not */
         return;
     }
-    if (ex->tries >= TRIES_MAX || !retry_allowed(s) ||
-        (!ex->idempotent && !sure_of(c, ex))) {
+    if (ex->tries >= RETRIES_MAX || !retry_allowed(s) ||
+        (!ex->idempotent && !exclusive_for(c, ex))) {
         end_refused(c, ex, REFUSE_FULL);
         return;
     }
@@ -582,10 +585,10 @@
         ex_remove(c, ex);
         return;
     }
-    if (!ex_keep(c, ex, data, len)) {
-        ex_drop_bytes(c, ex);
+    if (!ex_store(c, ex, data, len)) {
+        ex_free_buf(c, ex);
     }
-    ex_state(c, ex, EX_DONE);
+    ex_set_state(c, ex, EX_DONE);
 }
 
 /* An answer to EX came from its upstream. */
@@ -602,7 +605,7 @@
     if (m->code == COAP_CONFLICT && !ex->idempotent) {
         /* Another home barred it there and answers the caller. */
         ex_count(c, ex, false);
-        ex_state(c, ex, EX_BARRED);
+        ex_set_state(c, ex, EX_CANCELLED);
         return;
     }
     if (m->code == COAP_UNAVAILABLE && ex->state == EX_SENT) {
@@ -621,7 +624,7 @@
 /* ---- Answers of upstreams that bar a request ---- */
 
 static void
-take_cancelled(core_t *c, up_ix_t u, const coap_msg_t *m, const json_t *j)
+parse_cancel_reply(core_t *c, up_ix_t u, const coap_msg_t *m, const json_t *j)
 {
     uint32_t index;
     uint16_t mid;
@@ -636,13 +639,14 @@
         return;
     }
     ex = &c->exs[index];
-    if (ex->state == EX_FENCING && ex->mid == mid && ex->life == m->token[7]) {
-        take_fenced(c, ex, u, state, by, epoch);
+    if (ex->state == EX_FENCING && ex->mid == mid &&
+        ex->generation == m->token[7]) {
+        handle_cancel_state(c, ex, u, state, by, epoch);
     }
 }
 
 void
-request_cancelled(core_t *c, up_ix_t u, const coap_msg_t *m)
+request_cancel_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
 {
     json_t *j;
 
@@ -651,7 +655,7 @@
     }
     j = json_loadb((const char *)m->payload, m->payload_len, 0, NULL);
     if (j != NULL) {
-        take_cancelled(c, u, m, j);
+        parse_cancel_reply(c, u, m, j);
     }
     json_decref(j);
 }
@@ -659,20 +663,20 @@
 /* ---- Time ---- */
 
 static void
-ask_again(core_t *c, ex_t *ex)
+retry_fence(core_t *c, ex_t *ex)
 {
-    if (ex->waiting) {
+    if (ex->awaiting_probe) {
         fence(c, ex);
         return;
     }
     if (c->now < ex->retry_at) {
         return;
     }
-    if (c->now - ex->sent >= RETRY_MAX * RETRY_MS) {
+    if (c->now - ex->sent >= FENCE_RETRY_MAX * FENCE_RETRY_MS) {
         end_unknown(c, ex);
         return;
     }
-    ex->retry_at = c->now + RETRY_MS;
+    ex->retry_at = c->now + FENCE_RETRY_MS;
     for (int i = 0; i < ex->n_fence; i++) {
         up_cancel(c, ex, ex->fence[i]);
     }
@@ -684,7 +688,7 @@
     const up_t *u = &c->ups[ex->up];
     bool restarted = u->epoch != ex->epoch;
     bool late = c->now - ex->sent >= c->services[ex->service].conf.request_ms;
-    bool lost = !up_trusted(c, ex->up);
+    bool lost = !up_lease_valid(c, ex->up);
 
     if (!restarted && !late && !(lost && ex->idempotent)) {
         return;
@@ -704,7 +708,7 @@
         check_sent(c, ex);
         return;
     }
-    ask_again(c, ex);
+    retry_fence(c, ex);
 }
 
 void
--- a/core/send.c
+++ b/core/send.c
@@ -33,7 +33,7 @@
 }
 
 void
-send_steer(core_t *c, const dgram_t *d, uint64_t to)
+send_to_owner(core_t *c, const dgram_t *d, uint64_t to)
 {
     service_t *s = &c->services[d->service];
     core_out_t out = {.kind = CORE_TO_PEER};
@@ -122,7 +122,7 @@
 /* Seconds until a refused caller may try again: spread, so that those who
  * were refused together don't return together. */
 uint32_t
-come_back(core_t *c, const service_t *s)
+retry_after_s(core_t *c, const service_t *s)
 {
     uint32_t least = s->conf.come_back_s > 0 ? s->conf.come_back_s : 1;
 
--- a/core/sync.c
+++ b/core/sync.c
@@ -58,11 +58,11 @@
 void
 sync_refill(core_t *c)
 {
-    c->sync_budget = c->leaving || c->handing ? HAND_OVER_BYTES : PACED_BYTES;
+    c->sync_budget = c->leaving || c->handover ? HAND_OVER_BYTES : PACED_BYTES;
 }
 
 static bool
-spend(core_t *c)
+spend_budget(core_t *c)
 {
     if (c->sync_budget < PIN_BYTES) {
         return false;
@@ -75,7 +75,7 @@
 void
 sync_flow(core_t *c, flow_t *f)
 {
-    uint64_t key = flow_home_key(c, f);
+    uint64_t key = pin_owner_key(c, f);
     uint64_t to = sync_target(c, key);
     bool over = handing_over(c, key);
     const bucket_t *b = bucket_of(&c->services[f->service], f->key);
@@ -84,20 +84,20 @@
                  .kind = f->flags & FLOW_UPLOAD ? PIN_UPLOAD : PIN_FLOW};
 
     if (to == 0 || (f->flags & FLOW_SYNCED) ||
-        (f->up == b->choice[0] && !over) || !spend(c)) {
+        (f->up == b->candidate[0] && !over) || !spend_budget(c)) {
         return;
     }
     sync_add(c, to, &pin);
 }
 
 static void
-hold_flow(core_t *c, const pin_t *pin)
+store_replica(core_t *c, const pin_t *pin)
 {
     flow_t *f = flow_find(c, pin->flow);
     up_ix_t up = up_find_id(c, pin->upstream);
     /* Its home has it.  When that changes, sync_targets_changed() has it
      * passed on: this may be the only instance left that knows it. */
-    uint8_t flags = FLOW_HELD | FLOW_SYNCED;
+    uint8_t flags = FLOW_REPLICA | FLOW_SYNCED;
 
     if (up == UP_NONE) {
         return;
@@ -109,7 +109,7 @@
         flow_add(c, pin->flow, c->ups[up].service, up, flags);
         return;
     }
-    if (f->flags & FLOW_HELD) {
+    if (f->flags & FLOW_REPLICA) {
         f->up = up;
         flow_touch(c, f);
     }
@@ -121,7 +121,7 @@
     core_out_t out = {.kind = CORE_TO_PEER};
 
     for (int i = 0; i < m->sync.n; i++) {
-        hold_flow(c, &m->sync.pin[i]);
+        store_replica(c, &m->sync.pin[i]);
     }
     out.peer.to = m->from;
     out.peer.msg = *m;
@@ -138,7 +138,7 @@
         flow_t *f = flow_find(c, pin->flow);
 
         if (f != NULL && c->ups[f->up].conf.id == pin->upstream &&
-            m->from == sync_target(c, flow_home_key(c, f))) {
+            m->from == sync_target(c, pin_owner_key(c, f))) {
             f->flags |= FLOW_SYNCED;
         }
     }
@@ -150,7 +150,8 @@
 {
     for (uint32_t i = 0; i < c->flow_top; i++) {
         flow_t *f = &c->flows[i];
-        if ((f->flags & FLOW_USED) && slot_of(c, flow_home_key(c, f))->moved) {
+        if ((f->flags & FLOW_USED) &&
+            slot_of(c, pin_owner_key(c, f))->changed) {
             f->flags &= (uint8_t)~FLOW_SYNCED;
         }
     }
--- a/core/table.c
+++ b/core/table.c
@@ -31,7 +31,7 @@
  * progress at its upstreams.  A service with more than GROUP_UPSTREAMS has a
  * home for each such number; each then knows its share. */
 uint64_t
-work_key(const service_t *s, uint64_t flow)
+request_owner_key(const service_t *s, uint64_t flow)
 {
     uint64_t group = (flow >> 32) % s->groups;
 
@@ -41,20 +41,20 @@
 /* A service's flows have FLOW_GROUPS homes and not one each, so that an
  * instance is home for few services and need know only their upstreams. */
 uint64_t
-flow_group(const service_t *s, uint64_t flow)
+flow_owner_key(const service_t *s, uint64_t flow)
 {
     return hash_mix(s->id ^ GROUP_SALT, (flow >> 20) % FLOW_GROUPS);
 }
 
 void
-service_mine(core_t *c, service_t *s)
+service_update_may_own(core_t *c, service_t *s)
 {
-    s->mine = false;
+    s->may_own = false;
     for (uint64_t i = 0; i < FLOW_GROUPS; i++) {
-        s->mine |= slot_of(c, hash_mix(s->id ^ GROUP_SALT, i))->mine;
+        s->may_own |= slot_of(c, hash_mix(s->id ^ GROUP_SALT, i))->may_own;
     }
     for (uint64_t i = 0; i < s->groups; i++) {
-        s->mine |= slot_of(c, hash_mix(s->id, i))->mine;
+        s->may_own |= slot_of(c, hash_mix(s->id, i))->may_own;
     }
 }
 
@@ -72,12 +72,12 @@
 static void
 rank_insert(bucket_t *out, double *scores, up_ix_t u, double v)
 {
-    for (int i = 0; i < CHOICES; i++) {
-        if (out->choice[i] == UP_NONE || v > scores[i]) {
-            up_ix_t last_u = out->choice[i];
+    for (int i = 0; i < CANDIDATES; i++) {
+        if (out->candidate[i] == UP_NONE || v > scores[i]) {
+            up_ix_t last_u = out->candidate[i];
             double last_v = scores[i];
 
-            out->choice[i] = u;
+            out->candidate[i] = u;
             scores[i] = v;
             u = last_u;
             v = last_v;
@@ -91,10 +91,10 @@
 static void
 bucket_rank(core_t *c, service_t *s, uint32_t b, bucket_t *out)
 {
-    double scores[CHOICES];
+    double scores[CANDIDATES];
 
-    for (int i = 0; i < CHOICES; i++) {
-        out->choice[i] = UP_NONE;
+    for (int i = 0; i < CANDIDATES; i++) {
+        out->candidate[i] = UP_NONE;
     }
     for (uint32_t i = 0; i < s->n_ups; i++) {
         up_ix_t u = s->ups[i];
@@ -105,24 +105,24 @@
     }
     if (s->conf.prefer == PREFER_STABILITY) {
         /* One choice less to ask when in doubt. */
-        out->choice[CHOICES - 1] = UP_NONE;
+        out->candidate[CANDIDATES - 1] = UP_NONE;
     }
 }
 
 static void
-remember_earlier(core_t *c, bucket_t *b, const bucket_t *old)
+push_previous(core_t *c, bucket_t *b, const bucket_t *old)
 {
-    if (old->choice[0] == UP_NONE) {
+    if (old->candidate[0] == UP_NONE) {
         return;
     }
-    if (b->n_earlier == EARLIER_MAX) {
-        memmove(b->earlier, b->earlier + 1,
-                (EARLIER_MAX - 1) * sizeof(b->earlier[0]));
-        b->n_earlier--;
+    if (b->n_previous == PREVIOUS_MAX) {
+        memmove(b->previous, b->previous + 1,
+                (PREVIOUS_MAX - 1) * sizeof(b->previous[0]));
+        b->n_previous--;
     }
-    earlier_t *e = &b->earlier[b->n_earlier++];
+    previous_t *e = &b->previous[b->n_previous++];
 
-    memcpy(e->choice, old->choice, sizeof(e->choice));
+    memcpy(e->candidate, old->candidate, sizeof(e->candidate));
     e->version = c->version;
     e->until = c->now;
 }
@@ -153,7 +153,7 @@
             b[i] = s->buckets[i & (s->n_buckets - 1)];
         }
         else {
-            memset(b[i].choice, 0xFF, sizeof(b[i].choice)); /* UP_NONE */
+            memset(b[i].candidate, 0xFF, sizeof(b[i].candidate)); /* UP_NONE */
         }
     }
     free(s->buckets);
@@ -191,16 +191,16 @@
         bucket_t fresh = *b;
 
         bucket_rank(c, s, i, &fresh);
-        if (memcmp(fresh.choice, b->choice, sizeof(b->choice)) != 0) {
-            remember_earlier(c, &fresh, b);
+        if (memcmp(fresh.candidate, b->candidate, sizeof(b->candidate)) != 0) {
+            push_previous(c, &fresh, b);
         }
         *b = fresh;
     }
-    service_mine(c, s);
+    service_update_may_own(c, s);
 }
 
 static int
-add_choice(up_ix_t *out, int n, up_ix_t up)
+add_candidate(up_ix_t *out, int n, up_ix_t up)
 {
     if (up == UP_NONE) {
         return n;
@@ -217,35 +217,36 @@
 /* A choice is past when every instance has the version that ended it, and no
  * caller still sends copies of a request made before. */
 static bool
-is_past(const core_t *c, const earlier_t *e)
+is_expired(const core_t *c, const previous_t *e)
 {
     return c->now - e->until >= DOUBT_MS && c->lowest >= e->version;
 }
 
 int
-all_choices(core_t *c, service_t *s, uint64_t key, up_ix_t *out)
+all_candidates(core_t *c, service_t *s, uint64_t key, up_ix_t *out)
 {
     const bucket_t *b = bucket_of(s, key);
     int n = 0;
 
-    for (int i = 0; i < CHOICES; i++) {
-        n = add_choice(out, n, b->choice[i]);
+    for (int i = 0; i < CANDIDATES; i++) {
+        n = add_candidate(out, n, b->candidate[i]);
     }
-    for (int e = 0; e < b->n_earlier; e++) {
-        for (int i = 0; !is_past(c, &b->earlier[e]) && i < CHOICES; i++) {
-            n = add_choice(out, n, b->earlier[e].choice[i]);
+    for (int e = 0; e < b->n_previous; e++) {
+        for (int i = 0; !is_expired(c, &b->previous[e]) && i < CANDIDATES;
+             i++) {
+            n = add_candidate(out, n, b->previous[e].candidate[i]);
         }
     }
     return n;
 }
 
 bool
-choices_differ(const core_t *c, service_t *s, uint64_t key)
+candidates_differ(const core_t *c, service_t *s, uint64_t key)
 {
     const bucket_t *b = bucket_of(s, key);
 
-    for (int i = 0; i < b->n_earlier; i++) {
-        if (c->lowest < b->earlier[i].version) {
+    for (int i = 0; i < b->n_previous; i++) {
+        if (c->lowest < b->previous[i].version) {
             return true;
         }
     }
@@ -253,14 +254,14 @@
 }
 
 up_ix_t
-earlier_first(service_t *s, uint64_t key, ms_t since)
+previous_first(service_t *s, uint64_t key, ms_t since)
 {
     const bucket_t *b = bucket_of(s, key);
 
-    for (int i = 0; i < b->n_earlier; i++) {
-        if (b->earlier[i].until >= since &&
-            b->earlier[i].choice[0] != b->choice[0]) {
-            return b->earlier[i].choice[0];
+    for (int i = 0; i < b->n_previous; i++) {
+        if (b->previous[i].until >= since &&
+            b->previous[i].candidate[0] != b->candidate[0]) {
+            return b->previous[i].candidate[0];
         }
     }
     return UP_NONE;
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -8,14 +8,14 @@
 #include <string.h>
 
 #define PROBE_TAG 'P'
-#define PROBE_AGAIN_MS 300 /* after a probe went unanswered */
-#define PROBE_LOST_MS 250  /* an answer later than this is a miss */
-#define MISSES_MAX 3       /* no new work after so many in a row */
-#define MISSES_LOST 8      /* its flows are given up after so many */
-#define REPORT_OLD_MS 4000 /* a load report older than this is ignored */
-#define FROZEN_REPORTS 4   /* unchanged so often ... */
-#define FROZEN_FINISHED 4  /* ... while so many requests finished */
-#define STUCK_REPORTS 8    /* unchanged so often, whatever finished */
+#define PROBE_RETRY_MS 300     /* after a probe went unanswered */
+#define PROBE_TIMEOUT_MS 250   /* an answer later than this is a miss */
+#define MISSES_INELIGIBLE 3    /* no new work after so many in a row */
+#define MISSES_LOST 8          /* its flows are given up after so many */
+#define REPORT_MAX_AGE_MS 4000 /* a load report older than this is ignored */
+#define FROZEN_REPORTS 4       /* unchanged so often ... */
+#define FROZEN_FINISHED 4      /* ... while so many requests finished */
+#define STUCK_REPORTS 8        /* unchanged so often, whatever finished */
 #define SLOW_START_MS 8000 /* a started upstream gets its full share after */
 #define SHEDS_EJECT 3      /* sheds in a row that eject */
 #define EJECT_MS 2000
@@ -56,9 +56,9 @@
                 .service = service,
                 .conf = *conf,
                 .epoch_since = INT64_MIN / 2,
-                .trust_until = INT64_MIN / 2,
+                .lease_until = INT64_MIN / 2,
                 .unlisted_at = INT64_MIN / 2,
-                .wanted_until = INT64_MIN / 2,
+                .hinted_until = INT64_MIN / 2,
                 .eject_until = INT64_MIN / 2,
                 .probe_next = c->now + rng_below(&c->rng, 100)};
     map_put(&c->up_map, conf->id, c->n_ups);
@@ -66,12 +66,12 @@
 }
 
 bool
-up_trusted(const core_t *c, up_ix_t u)
+up_lease_valid(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
 
-    return u != UP_NONE && up->used && up->verified && !up->refused &&
-           c->now < up->trust_until;
+    return u != UP_NONE && up->used && up->verified && !up->wrong_service &&
+           c->now < up->lease_until;
 }
 
 bool
@@ -79,8 +79,8 @@
 {
     const up_t *up = &c->ups[u];
 
-    return u == UP_NONE || !up->used || up->refused ||
-           up->misses >= MISSES_LOST;
+    return u == UP_NONE || !up->used || up->wrong_service ||
+           up->probe_misses >= MISSES_LOST;
 }
 
 static bool
@@ -99,7 +99,8 @@
     }
     up = &c->ups[u];
     return up->listed && !up->draining && !up->conf_draining &&
-           up->misses < MISSES_MAX && !ejected(c, u) && up_trusted(c, u);
+           up->probe_misses < MISSES_INELIGIBLE && !ejected(c, u) &&
+           up_lease_valid(c, u);
 }
 
 /* Is the report worth anything: recent, and not frozen?  A report that stays
@@ -110,11 +111,11 @@
 static bool
 report_usable(const core_t *c, const up_t *up)
 {
-    bool frozen =
-        (up->same >= FROZEN_REPORTS && up->finished >= FROZEN_FINISHED) ||
-        up->same >= STUCK_REPORTS;
+    bool frozen = (up->same_reports >= FROZEN_REPORTS &&
+                   up->finished_since_change >= FROZEN_FINISHED) ||
+                  up->same_reports >= STUCK_REPORTS;
 
-    return c->now - up->probe_sent < REPORT_OLD_MS && !frozen;
+    return c->now - up->probe_sent < REPORT_MAX_AGE_MS && !frozen;
 }
 
 /* Requests in progress at U: this home's, and those of others that its report
@@ -124,8 +125,8 @@
 {
     uint32_t others = 0;
 
-    if (report_usable(c, up) && up->reported > up->own_then) {
-        others = up->reported - up->own_then;
+    if (report_usable(c, up) && up->reported > up->in_flight_at_probe) {
+        others = up->reported - up->in_flight_at_probe;
     }
     return up->in_flight + up->uploads + others;
 }
@@ -200,7 +201,7 @@
 /* ---- Probes and cancellations ---- */
 
 static void
-own_request(core_t *c, up_ix_t u, coap_msg_t *m)
+send_own_request(core_t *c, up_ix_t u, coap_msg_t *m)
 {
     uint8_t buf[256];
     int n;
@@ -229,13 +230,13 @@
     m.path_n = 2;
     strcpy(m.path[1], "load");
     up->probe_sent = c->now;
-    up->own_then = up->in_flight;
-    up->probe_next = c->now + PROBE_LOST_MS;
-    if (up->misses < UINT8_MAX) {
-        up->misses++; /* until the answer comes */
+    up->in_flight_at_probe = up->in_flight;
+    up->probe_next = c->now + PROBE_TIMEOUT_MS;
+    if (up->probe_misses < UINT8_MAX) {
+        up->probe_misses++; /* until the answer comes */
     }
     c->services[up->service].stats.probes++;
-    own_request(c, u, &m);
+    send_own_request(c, u, &m);
 }
 
 /* An instance asks the upstreams that it may have to choose from or to send
@@ -246,8 +247,8 @@
 {
     bool chosen = up->listed || c->now - up->unlisted_at < DOUBT_MS;
 
-    return (chosen && c->services[up->service].mine) || up->flows > 0 ||
-           up->uploads > 0 || up->in_flight > 0 || c->now < up->wanted_until;
+    return (chosen && c->services[up->service].may_own) || up->flows > 0 ||
+           up->uploads > 0 || up->in_flight > 0 || c->now < up->hinted_until;
 }
 
 void
@@ -264,14 +265,14 @@
 }
 
 static void
-take_report(up_t *up, uint32_t reported)
+update_report(up_t *up, uint32_t reported)
 {
     if (reported == up->reported) {
-        up->same++;
+        up->same_reports++;
     }
     else {
-        up->same = 0;
-        up->finished = 0;
+        up->same_reports = 0;
+        up->finished_since_change = 0;
     }
     up->reported = reported;
 }
@@ -279,7 +280,7 @@
 /* True for a new epoch: the upstream has started anew and has lost its feeds,
  * its uploads and what it knew of duplicates. */
 static bool
-take_epoch(core_t *c, up_ix_t u, uint32_t epoch, json_int_t age_ms)
+update_epoch(core_t *c, up_ix_t u, uint32_t epoch, json_int_t age_ms)
 {
     up_t *up = &c->ups[u];
     bool restarted = up->epoch != 0 && up->epoch != epoch;
@@ -297,7 +298,7 @@
 
 /* True: the upstream has started anew. */
 static bool
-take_load(core_t *c, up_ix_t u, const json_t *j)
+handle_load_report(core_t *c, up_ix_t u, const json_t *j)
 {
     up_t *up = &c->ups[u];
     const json_t *age = json_object_get(j, "age_ms");
@@ -308,23 +309,23 @@
     if (service == NULL || addr_parse(&a, service) < 0) {
         return false;
     }
-    up->refused = addr_id(&a) != c->services[up->service].id;
-    if (up->refused) {
+    up->wrong_service = addr_id(&a) != c->services[up->service].id;
+    if (up->wrong_service) {
         c->services[up->service].stats.misdirected++;
         return false;
     }
-    restarted = take_epoch(
+    restarted = update_epoch(
         c, u, (uint32_t)json_integer_value(json_object_get(j, "epoch")),
         age != NULL ? json_integer_value(age) : -1);
-    take_report(up,
-                (uint32_t)(json_integer_value(json_object_get(j, "busy")) +
-                           json_integer_value(json_object_get(j, "queued"))));
+    update_report(
+        up, (uint32_t)(json_integer_value(json_object_get(j, "busy")) +
+                       json_integer_value(json_object_get(j, "queued"))));
     up->draining = json_is_true(json_object_get(j, "draining"));
     up->verified = true;
-    up->misses = 0;
+    up->probe_misses = 0;
     /* Counted from the question: an answer that waited somewhere says how
      * things were, not how they are. */
-    up->trust_until = up->probe_sent + TRUST_MS;
+    up->lease_until = up->probe_sent + TRUST_MS;
     up->probe_next = up->probe_sent + PROBE_MS;
     return restarted;
 }
@@ -338,11 +339,11 @@
 
     if (m->code >> 5 != 2 || j == NULL) {
         /* Refused: the address serves another service now. */
-        up->refused |= m->code >> 5 == 4 && m->token[0] == PROBE_TAG;
+        up->wrong_service |= m->code >> 5 == 4 && m->token[0] == PROBE_TAG;
     }
     else if (m->token_len == 5 && m->token[0] == PROBE_TAG &&
              memcmp(m->token + 3, &up->probe_seq, 2) == 0) {
-        restarted = take_load(c, u, j);
+        restarted = handle_load_report(c, u, j);
     }
     json_decref(j);
     return restarted;
@@ -362,13 +363,13 @@
     m.token[0] = CANCEL_TAG;
     memcpy(m.token + 1, &index, 4);
     memcpy(m.token + 5, &ex->mid, 2);
-    m.token[7] = ex->life;
+    m.token[7] = ex->generation;
     m.path_n = 2;
     strcpy(m.path[1], "exchange");
     snprintf(m.query, sizeof(m.query), "c=%s&m=%u&o=%016llx",
              addr_text(&ex->client, client), ex->mid,
              (unsigned long long)c->p.self);
-    own_request(c, u, &m);
+    send_own_request(c, u, &m);
 }
 
 /* ---- Ejection ---- */
