--- a/core/input.c
+++ b/core/input.c
@@ -1,16 +1,17 @@
-/* What comes in, and where it is decided on: here, at the flow's home, or
- * nowhere. */
+/* Input: decides whether a datagram is handled here or forwarded to its
+ * owner. */
 #include "core/state.h"
 
-/* No call for so long is a pause; calls come each 20 to 50 ms, and others take
- * an instance for dead after 600 ms. */
+/* A longer gap between calls counts as a pause.  Calls come every 20 to 50
+ * ms, and the other members declare an instance dead after 600 ms. */
 #define PAUSE_MS 400
 
 /* ---- Datagrams from callers ---- */
 
-/* Sends D on to its home, or returns false when this is the place to decide.
- * KEY is the flow's or, for requests, the service's.  PINNED: the home before
- * this may have a pin for it. */
+/* Forwards D to its owner, or returns false when D is to be handled here.
+ * KEY is the owner key of the flow or, for requests, of the service.
+ * KNOWN: a record here already decides.  PINNED: the previous owner may
+ * have a pin for it. */
 static bool
 forward_to_owner(core_t *c, const dgram_t *d, uint64_t key, bool known,
                  bool pinned)
@@ -22,13 +23,13 @@
         return false;
     }
     if (owner == 0) {
-        /* It has just started and knows no home, nor what was done before:
-         * the caller's next copy finds an instance that does. */
+        /* This instance has just started and has neither an owner nor
+         * records: the caller's next copy reaches an instance that has. */
         c->services[d->service].stats.untrusted++;
         return true;
     }
     if (owner == c->p.self && d->hops >= STEER_HOPS) {
-        return false; /* views differ; some home has to decide */
+        return false; /* views differ; some instance has to decide */
     }
     if (owner != c->p.self) {
         send_to_owner(c, d, owner);
@@ -61,8 +62,9 @@
     return true;
 }
 
-/* Is F decided on here, even if its home has moved on?  A pin held for another
- * home counts when that home asks, since it doesn't have it. */
+/* True when F is handled here, even if its owner has changed.  A replica
+ * held for another owner counts when that owner forwards the datagram,
+ * since the owner then has no pin. */
 static bool
 flow_is_local(core_t *c, const dgram_t *d, const flow_t *f)
 {
@@ -89,8 +91,9 @@
     }
 }
 
-/* An ACK or RST: for a feed the flow's home knows the upstream, for the late
- * answer to a request the service's home does. */
+/* An ACK or RST.  The upstream is known to the owner of the flow for a
+ * feed, and to the owner of the requests for a separate response to a
+ * request. */
 static void
 empty_in(core_t *c, const dgram_t *d, bool local)
 {
@@ -125,7 +128,7 @@
         return;
     }
     if (!coap_is_request(d->m)) {
-        s->stats.malformed++; /* upstreams ask callers nothing */
+        s->stats.malformed++; /* upstreams send callers no requests */
         return;
     }
     if (class_of(d->m) == CLASS_FEED) {
@@ -143,23 +146,23 @@
     }
 }
 
-/* After a pause nothing learned before it may be trusted: upstreams may have
- * changed their service, and others have taken this instance for dead. */
+/* After a pause nothing learned before is valid: upstreams may have changed
+ * their service, and other members may have declared this instance dead. */
 static void
 resume_after_pause(core_t *c)
 {
     for (uint32_t i = 0; i < c->n_ups; i++) {
         c->ups[i].lease_until = c->now;
         c->ups[i].probe_next = c->now;
-        c->ups[i].probe_misses = 0; /* nobody asked it meanwhile */
+        c->ups[i].probe_misses = 0; /* no probes were sent meanwhile */
     }
     c->uncertain_at = c->now;
 }
 
-/* Called first by each entry.  A gap in the calls is a pause of this process.
- * Others may have taken it for dead meanwhile, and acted in its place, before
- * it hears of that: the doubt must start before the first datagram is decided
- * on, not at the next tick. */
+/* Called first by every entry point.  A gap between calls is a pause of
+ * this process: other members may have declared this instance dead and
+ * acted in its place, before this instance learns of that.  The uncertainty
+ * must start before the first datagram is handled, not at the next tick. */
 void
 core_enter(core_t *c, ms_t now)
 {
@@ -269,8 +272,8 @@
 
 /* ---- Datagrams from upstreams ---- */
 
-/* The answer belongs to EX if it has its token, and comes from the upstream
- * and epoch that got the request. */
+/* Finds the exchange that M answers: its token matches, and the answer
+ * comes from the upstream and epoch to which the request was sent. */
 static ex_t *
 answered_exchange(core_t *c, uint64_t key, up_ix_t u, const coap_msg_t *m)
 {
@@ -317,13 +320,14 @@
         return;
     }
     if (ex_find_token(c, key, &m) != NULL) {
-        s->stats.late_answers++; /* of an earlier life, or after a bar */
+        s->stats
+            .late_answers++; /* of an earlier epoch, or after a cancellation */
         return;
     }
     send_client(c, service, &h->client, data, len);
 }
 
-/* To a message of this instance itself. */
+/* Handles a reply to a probe or a cancellation of this instance. */
 static void
 handle_own_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
 {
--- a/core/owners.c
+++ b/core/owners.c
@@ -1,4 +1,4 @@
-/* Homes: rendezvous hashing of slots over the members. */
+/* Ownership of keys: rendezvous hashing of slots over the members. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -7,7 +7,7 @@
 
 #define RANKS 3
 
-/* The first members by rank for one slot, of those that may be homes. */
+/* The first members by rank for a slot, of those that may own it. */
 typedef struct {
     const peer_t *active[2]; /* first two ACTIVE */
     const peer_t *joining;   /* first JOINING */
@@ -54,10 +54,11 @@
     return s->owner != c->p.self || s->backup_joins;
 }
 
-/* Sure: for DOUBT_MS this was the home, all members were heard, and each had
- * the same view, so that what isn't recorded here was forwarded by nobody.
- * One suspect anywhere ends it: cut off from the others, the suspect takes
- * itself for the home of everything that the fabric hands it. */
+/* Ownership is exclusive when, for DOUBT_MS, this instance was the owner
+ * and all members were alive and had the same view: no other instance can
+ * then have forwarded what is not recorded here.  A single suspect member
+ * anywhere ends this: cut off from the others, the suspect treats itself as
+ * the owner of everything that the fabric delivers to it. */
 bool
 owner_exclusive(core_t *c, uint64_t key)
 {
@@ -66,8 +67,8 @@
            c->now - slot_of(c, key)->owner_since >= DOUBT_MS;
 }
 
-/* A new home lacks the pins that its predecessor knows, and for a while sends
- * on the datagrams of flows that it doesn't know. */
+/* For DOUBT_MS a new owner forwards datagrams of unknown flows to its
+ * predecessor, which has pins that the new owner lacks. */
 uint64_t
 previous_owner(core_t *c, uint64_t key)
 {
@@ -132,7 +133,7 @@
     return NULL;
 }
 
-/* Can ID still be asked about what it knew? */
+/* True when ID can still be asked for its pins. */
 static bool
 peer_reachable(const core_t *c, uint64_t id)
 {
@@ -181,8 +182,9 @@
     return s->changed;
 }
 
-/* Self refuted a suspicion, or a member restarted without leaving: others took
- * another instance for the home, or records are lost. */
+/* True when self refuted a suspicion, or a member restarted without
+ * leaving: other members took another instance for the owner, or records
+ * are lost. */
 static bool
 was_uncertain(const core_t *c, const member_t *m)
 {
@@ -203,8 +205,8 @@
     return m->state == MEMBER_JOINING && p->state == MEMBER_ACTIVE;
 }
 
-/* Was M there before this instance?  One that starts along with it is first
- * seen JOINING. */
+/* True when M started before this instance.  A member that starts at the
+ * same time is first seen JOINING. */
 static bool
 is_older(const core_t *c, const member_t *m)
 {
--- a/core/request.c
+++ b/core/request.c
@@ -1,27 +1,28 @@
-/* What a home does with a request.
+/* Requests at their owner.
  *
- * The hazard is a second run: copy 1 of a non-idempotent request went to one
- * upstream and ran, copy 2 goes to another.  A home that is sure to be the
- * only one knows from its records where each went.  Any other can't know, but
- * where a copy can be, it can: at one of the choices that the tables give,
- * present and earlier.  It has the request barred at all of them but its
- * target before it forwards; whoever bars first at an upstream owns the
- * request there.
- */
+ * The hazard is a duplicate execution: copy 1 of a non-idempotent request
+ * ran at one upstream, copy 2 goes to another.  An exclusive owner has
+ * records of where each copy went.  An owner with uncertain ownership has
+ * not, but a copy can only be at one of the candidates, current or
+ * previous.  Such an owner has the request cancelled at all of them except
+ * the target before it forwards (fencing).  At each upstream, the first
+ * owner to cancel a request has the right to run it. */
 #include "core/state.h"
 
 #include <jansson.h>
 #include <stdio.h>
 #include <string.h>
 
-#define RETRIES_MAX 2       /* forwards after the first was shed */
+#define RETRIES_MAX 2       /* at other upstreams, of one request */
 #define RETRY_BUDGET_MIN 10 /* retries allowed whatever the budget */
 #define PERCENT 100
-#define BLOCK_MORE 8             /* RFC 7959 2.2 */
-#define FIRST_PROBE_WAIT_MS 1000 /* a new upstream is waited for so long */
-#define FENCE_FIRST_RETRY_MS 60  /* until a cancellation is sent again */
-#define FENCE_RETRY_MS 60        /* between cancellations of one request */
-#define FENCE_RETRY_MAX 6        /* such before giving up */
+#define BLOCK_MORE 8 /* RFC 7959 2.2 */
+#define FIRST_PROBE_WAIT_MS                                                   \
+    1000 /* longest wait for the first probe reply of a new upstream */
+#define FENCE_FIRST_RETRY_MS                                                  \
+    60                    /* until a cancellation is sent a second time */
+#define FENCE_RETRY_MS 60 /* between later cancellations of a request */
+#define FENCE_RETRY_MAX 6 /* such intervals before giving up */
 
 static service_t *
 service_of(core_t *c, const ex_t *ex)
@@ -41,8 +42,9 @@
 
 /* ---- Fences ---- */
 
-/* Can U be asked about a copy, and would it remember one?  Not when it has
- * restarted since it first got work, which takes it at least TRUST_MS. */
+/* True when U can be asked about a copy and would remember it.  False for
+ * an upstream that restarted after it may first have got work; a restart
+ * takes at least TRUST_MS. */
 static bool
 can_cancel_at(const core_t *c, up_ix_t u)
 {
@@ -53,7 +55,8 @@
     return up_lease_valid(c, u) && !forgot;
 }
 
-/* Is one of them new, and has it yet to answer its first probe? */
+/* True when one of the N upstreams AT is new and has not answered a probe
+ * yet. */
 static bool
 any_unverified(const core_t *c, const up_ix_t *at, int n)
 {
@@ -69,9 +72,9 @@
 static void forward(core_t *c, ex_t *ex);
 static void end_unknown(core_t *c, ex_t *ex);
 
-/* Has EX barred wherever a copy may be, but for its target.  When one of these
- * can't be asked, or the target has restarted and forgotten, nobody can say
- * what became of a copy. */
+/* Has EX cancelled at every upstream that may hold a copy, except its
+ * target. The outcome is unknown when one of these can't be asked, or when
+ * the target has restarted and so lost its record of duplicates. */
 static void
 fence(core_t *c, ex_t *ex)
 {
@@ -122,7 +125,7 @@
     }
 }
 
-/* The final answer; a read's record isn't needed any more. */
+/* Sends the final answer.  The record of an idempotent request is removed. */
 static void
 answer_final(core_t *c, ex_t *ex, uint8_t code, uint32_t max_age)
 {
@@ -154,9 +157,10 @@
     answer_final(c, ex, COAP_UNAVAILABLE, retry_after_s(c, s));
 }
 
-/* "Not run" must stay true.  A sure home refuses by its own word: its record
- * keeps later copies from running.  Another one has the request barred first
- * wherever a copy could be; if that can't be had, the outcome is unknown. */
+/* Refuses EX as "not run", which must stay true.  An exclusive owner
+ * refuses at once: its record keeps later copies from running.  An owner
+ * with uncertain ownership first has the request cancelled wherever a copy
+ * could be; when that fails, the outcome is unknown. */
 static void
 end_refused(core_t *c, ex_t *ex, refuse_t why)
 {
@@ -196,8 +200,8 @@
 /* ---- Choice of the upstream ---- */
 
 /* The least loaded of the N upstreams LIST with room for CLS; FIRST wins a
- * tie.  The home sees all requests of the service, so it need not draw lots.
- */
+ * tie. The owner sees all requests of the service, so it needs no random
+ * choice. */
 static up_ix_t
 least_loaded(core_t *c, const up_ix_t *list, uint32_t n, up_ix_t first,
              class_t cls)
@@ -221,8 +225,8 @@
     return best;
 }
 
-/* A non-idempotent request goes to one of its choices and to no other: a home
- * without the record has only them to ask. */
+/* A non-idempotent request goes only to a candidate of its bucket: an owner
+ * without the record can ask no others. */
 static up_ix_t
 choose(core_t *c, const ex_t *ex)
 {
@@ -253,7 +257,7 @@
     return false;
 }
 
-/* A request that has no record here. */
+/* Starts a request that has no record here. */
 static void
 open_request(core_t *c, const dgram_t *d, ex_t *ex)
 {
@@ -275,7 +279,7 @@
     fence(c, ex);
 }
 
-/* The request runs at U or has run there: a copy brings its answer. */
+/* The request runs or has run at U: sending a copy there brings the answer. */
 static void
 found_at(core_t *c, ex_t *ex, up_ix_t u)
 {
@@ -294,7 +298,7 @@
     return by == NULL || strcmp(by, self) == 0;
 }
 
-/* Upstream U told what became of the request of EX. */
+/* Handles U's reply to the cancellation of EX. */
 static void
 handle_cancel_state(core_t *c, ex_t *ex, up_ix_t u, const char *state,
                     const char *by, uint32_t epoch)
@@ -313,7 +317,7 @@
         return;
     }
     if (!cancelled_by_self(c, by)) {
-        /* Another home was first here and answers the caller. */
+        /* Another owner cancelled first and answers the caller. */
         ex_set_state(c, ex, EX_CANCELLED);
         return;
     }
@@ -329,8 +333,8 @@
 
 /* ---- Copies of a known request ---- */
 
-/* A copy goes only where the first went, and only while that upstream still
- * remembers it. */
+/* Sends a duplicate to the upstream of the first copy, and only while that
+ * upstream still remembers the request. */
 static bool
 forward_duplicate(core_t *c, const dgram_t *d, const ex_t *ex)
 {
@@ -341,8 +345,9 @@
     return true;
 }
 
-/* The port or the ID was used again too early.  The upstream would take it for
- * a copy of the old request and send the old answer. */
+/* Refuses a request whose port or message ID was reused too early.  The
+ * upstream would treat it as a duplicate of the old request and send the
+ * old answer. */
 static void
 refuse_reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
 {
@@ -367,7 +372,7 @@
     switch (ex->state) {
     case EX_REFUSED:
         if (ex->final_code == COAP_UNAVAILABLE && !exclusive_for(c, ex)) {
-            /* Since it was refused here, another home may have run it. */
+            /* Another owner may have run it since it was refused here. */
             end_unknown(c, ex);
             return;
         }
@@ -387,7 +392,8 @@
         forward_duplicate(c, d, ex);
         return;
     case EX_CANCELLED:
-        /* The other home had the time to answer, and the caller asks on. */
+        /* The other owner had time to answer, yet the caller still
+         * retransmits. */
         end_unknown(c, ex);
         return;
     case EX_FENCING:
@@ -398,9 +404,9 @@
 
 /* ---- Uploads ---- */
 
-/* Refuses an upload.  A first block that an upstream may have taken, from this
- * home or from one that died, must not be called "not run": the caller is told
- * to start again. */
+/* Refuses an upload.  A first block that an upstream may have accepted,
+ * from this owner or from one that failed, must not be reported as "not
+ * run": the caller is asked to start again. */
 static void
 upload_refuse(core_t *c, const dgram_t *d, refuse_t why, bool taken)
 {
@@ -412,8 +418,8 @@
                retry_after_s(c, &c->services[d->service]), why);
 }
 
-/* Opens an upload.  PASSED_ON: its first block was sent to an upstream before.
- * NULL: it was refused. */
+/* Opens an upload.  ALREADY_FORWARDED: its first block was sent to an
+ * upstream before.  Returns NULL when the upload was refused. */
 static flow_t *
 upload_open(core_t *c, const dgram_t *d, bool already_forwarded)
 {
@@ -440,7 +446,7 @@
     return f;
 }
 
-/* A block of an upload goes where its first block went. */
+/* Sends a block of an upload to the upstream of its first block. */
 static void
 upload_block(core_t *c, const dgram_t *d)
 {
@@ -474,7 +480,7 @@
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
-    /* A home that died may have had it at the first choice. */
+    /* An owner that failed may have opened it at the first candidate. */
     if (up_lease_valid(c, first)) {
         send_upstream(c, first, &d->h->client, true, d->data, d->len);
     }
@@ -523,8 +529,9 @@
     }
     if (same_token != NULL && same_token->state != EX_REFUSED &&
         same_token->state != EX_DONE) {
-        /* The token is that of a request still in progress, of the port's
-         * last user perhaps, whose answer would be taken for this one's. */
+        /* The token belongs to a request still in progress, perhaps of the
+         * port's previous user, whose answer would be matched to this
+         * request. */
         end_refused(c, ex, REFUSE_MID_REUSE);
         return;
     }
@@ -540,8 +547,8 @@
            RETRY_BUDGET_MIN + s->forwarded * s->conf.retry_percent / PERCENT;
 }
 
-/* The upstream said "not run", or the request is idempotent: another may
- * have it, within the budget. */
+/* The upstream replied "not run", or the request is idempotent: tries
+ * another upstream within the retry budget. */
 static void
 retry(core_t *c, ex_t *ex)
 {
@@ -574,7 +581,8 @@
     forward(c, ex);
 }
 
-/* The answer is final; a read's record has done its work. */
+/* Forwards the final answer.  The record of an idempotent request is
+ * removed. */
 static void
 answer_done(core_t *c, ex_t *ex, const coap_msg_t *m, const uint8_t *data,
             size_t len)
@@ -591,7 +599,7 @@
     ex_set_state(c, ex, EX_DONE);
 }
 
-/* An answer to EX came from its upstream. */
+/* Handles an answer to EX from its upstream. */
 void
 request_answer(core_t *c, ex_t *ex, const coap_msg_t *m, const uint8_t *data,
                size_t len)
@@ -603,7 +611,7 @@
         return;
     }
     if (m->code == COAP_CONFLICT && !ex->idempotent) {
-        /* Another home barred it there and answers the caller. */
+        /* Another owner cancelled it there and answers the caller. */
         ex_count(c, ex, false);
         ex_set_state(c, ex, EX_CANCELLED);
         return;
@@ -697,7 +705,7 @@
         retry(c, ex);
         return;
     }
-    /* It may have run before the upstream stopped: nobody can say. */
+    /* It may have run before the upstream stopped: the outcome is unknown. */
     end_unknown(c, ex);
 }
 
