--- a/core/core.c
+++ b/core/core.c
@@ -1,4 +1,4 @@
-/* A core's life: start, configuration, ticks, leaving, statistics. */
+/* Life cycle of a core: start, configuration, ticks, leaving, statistics. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -50,7 +50,8 @@
 
 /* ---- Configuration ---- */
 
-/* A service that has no upstreams yet; SERVICE_NONE without memory. */
+/* Adds a service without upstreams.  Returns SERVICE_NONE when memory runs
+ * out. */
 static service_ix_t
 service_add(core_t *c, const conf_service_t *conf)
 {
@@ -70,7 +71,8 @@
     return (service_ix_t)c->n_services++;
 }
 
-/* How many of its upstreams take a new place (see apply_upstream()). */
+/* The number of upstreams of CONF that need a new index (see
+ * apply_upstream()). */
 static size_t
 new_upstreams(const core_t *c, const conf_service_t *conf)
 {
@@ -98,9 +100,10 @@
     return table_reserve(&c->services[i], conf->n_upstreams);
 }
 
-/* All the memory that CONF needs, before anything of it is taken: a version is
- * in force whole or not at all.  What fails leaves more room and, at most,
- * services without upstreams, whose requests are refused as before. */
+/* Reserves all the memory that CONF needs before any of it is applied: a
+ * version is in force as a whole or not at all.  A failure leaves spare
+ * room and, at most, services without upstreams, whose requests are refused
+ * as before. */
 static int
 conf_reserve(core_t *c, const conf_t *conf)
 {
@@ -135,11 +138,12 @@
     return c->history_complete;
 }
 
-/* When an upstream that is new here can first have got work from anyone;
- * INT64_MIN / 2 when that isn't known.  An instance that hears all others has
- * a version at about the same time as they; one that was cut off may have it
- * much later.  With its first version it knows if it was told so, or was given
- * what was in force over all of DOUBT_MS. */
+/* The earliest time at which an upstream that is new here can have got work
+ * from any instance; INT64_MIN / 2 when that is unknown.  An instance in
+ * contact with all others gets a version at about the same time as they do;
+ * an instance that was cut off may get it much later.  For the first
+ * version here the time is known if the history is declared complete, or if
+ * the versions in force over all of the last DOUBT_MS were supplied. */
 static ms_t
 first_listing(core_t *c)
 {
@@ -158,8 +162,8 @@
     up_ix_t u = up_find_id(c, conf->id);
 
     if (u != UP_NONE && c->ups[u].service != service) {
-        /* The address has another service now: what is known of its earlier
-         * life is of no use, and its flows have ended there. */
+        /* The address belongs to another service now: its recorded state is
+         * obsolete, and its flows have ended there. */
         feeds_lost(c, u);
         c->ups[u].used = false;
         u = UP_NONE;
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -1,14 +1,12 @@
-/* Records of requests at their home. */
+/* Records of requests at their owner. */
 #include "core/state.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define RECORDS_PER_BUF 8 /* records for each buffer */
-#define FREE_BUFS_DIVISOR                                                     \
-    4 /* a quarter of the buffers is for new requests                         \
-       */
+#define RECORDS_PER_BUF 8   /* records per buffer */
+#define FREE_BUFS_DIVISOR 4 /* a quarter is reserved for new requests */
 
 int
 exchanges_new(core_t *c)
@@ -76,7 +74,7 @@
 
 /* ---- Finding ---- */
 
-/* The records of one flow are a chain. */
+/* Finds the first record of the flow KEY in a hash chain, from index I on. */
 static ex_t *
 ex_first(core_t *c, uint32_t i, uint64_t key)
 {
@@ -144,8 +142,9 @@
     return state == EX_FENCING || state == EX_SENT;
 }
 
-/* An answered request keeps its bytes while buffers are plenty; without them
- * a copy is answered by the upstream's duplicate detection. */
+/* An answered request keeps its answer while there are enough free buffers.
+ * Without it, a duplicate is answered by the upstream's duplicate
+ * detection. */
 void
 ex_set_state(core_t *c, ex_t *ex, ex_state_t state)
 {
@@ -153,7 +152,7 @@
 
     ex->state = state;
     if (stays) {
-        return; /* moved to the end, request_tick() would come to it again */
+        return; /* moved to the end, request_tick() would visit it again */
     }
     list_remove(&ex->in);
     list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->in);
@@ -162,7 +161,8 @@
     }
 }
 
-/* From the free list, then from the part of the table never used.  0: none. */
+/* Allocates from the free list, then from the part of the table that was
+ * never used.  Returns 0 when the table is full. */
 static uint32_t
 alloc_ex(core_t *c)
 {
@@ -175,8 +175,8 @@
     return c->ex_top < c->p.max_exchanges ? ++c->ex_top : 0;
 }
 
-/* A new record for the request D.  NULL when the table or the buffers are
- * full. */
+/* Adds a record for the request D.  Returns NULL when the table or the
+ * buffers are full. */
 ex_t *
 ex_add(core_t *c, const dgram_t *d)
 {
@@ -259,17 +259,17 @@
 
 /* ---- Time ---- */
 
-/* A record is kept as long as its message ID may not be used again; when the
- * table fills, as long as copies of the request may come, which is what at
- * most once needs. */
+/* A record is kept until its message ID may be reused.  When the table
+ * fills up, it is kept only as long as copies of the request may arrive,
+ * the minimum for at-most-once execution. */
 static ms_t
 retention_ms(const core_t *c)
 {
     return c->ex_used > c->p.max_exchanges / 4 * 3 ? DOUBT_MS : EXCHANGE_MS;
 }
 
-/* The kept records are in the order in which they were kept, so those that
- * have expired come first. */
+/* ex_kept is in the order in which the records were put there, so expired
+ * ones come first. */
 void
 ex_expire(core_t *c)
 {
--- a/core/flows.c
+++ b/core/flows.c
@@ -1,4 +1,4 @@
-/* Flows pinned at their home, feeds to be told of a loss, and hints. */
+/* Flows pinned at their owner, their feeds, and forwarding hints. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -7,8 +7,8 @@
 
 #define TENTH_MS 100
 #define HINT_WAYS 4
-#define SWEEP_TICKS 32 /* ticks in which the whole table is looked at */
-#define FEED_PINGS 3   /* unanswered, until a silent feed is given up */
+#define SWEEP_TICKS 32 /* a full sweep of the table takes so many ticks */
+#define FEED_PINGS 3   /* unanswered, before a silent feed is given up */
 #define FEED_PING_MS 1000
 
 int
@@ -87,8 +87,8 @@
     }
 }
 
-/* An upload takes a slot until its last block is answered, or one is refused;
- * the pin stays, for copies of that block. */
+/* An upload occupies a slot until its last block is answered or a block is
+ * refused.  The pin stays, for duplicates of that block. */
 void
 upload_answered(core_t *c, flow_t *f, const coap_msg_t *m)
 {
@@ -101,8 +101,9 @@
     f->flags |= FLOW_ENDED;
 }
 
-/* Entries are taken from the free list, then from the part of the table that
- * was never used, whose pages cost no memory until then.  0: none left. */
+/* Allocates from the free list, then from the part of the table that was
+ * never used, whose pages take no memory until then.  Returns 0 when the
+ * table is full. */
 static uint32_t
 alloc_flow(core_t *c)
 {
@@ -127,8 +128,8 @@
     return c->feed_top < c->p.max_flows ? ++c->feed_top : 0;
 }
 
-/* NULL when the table is full: the flow then has no memory and follows the
- * table's first choice, and the established ones keep theirs. */
+/* Returns NULL when the table is full: the flow then has no pin and follows
+ * the first candidate of the table; established flows keep their pins. */
 flow_t *
 flow_add(core_t *c, uint64_t key, service_ix_t service, up_ix_t up,
          uint8_t flags)
@@ -238,9 +239,9 @@
 
 /* ---- Silent and lost feeds ---- */
 
-/* Tells the caller that its feed has ended, as RFC 7641 4.2 does: a
- * notification with an error code.  The caller registers anew at once,
- * instead of watching a picture that stands still. */
+/* Notifies the caller that its feed has ended, by a notification with an
+ * error code (RFC 7641 4.2).  The caller then re-registers at once, instead
+ * of waiting for notifications that never come. */
 static void
 notify_feed_lost(core_t *c, flow_t *f)
 {
@@ -272,7 +273,7 @@
     flow_remove(c, f);
 }
 
-/* Ends the flows at UP that have none of the flags of KEPT. */
+/* Ends the flows at UP that have none of the flags KEPT. */
 static void
 end_flows_of(core_t *c, up_ix_t up, unsigned kept)
 {
@@ -290,9 +291,10 @@
     end_flows_of(c, up, FLOW_REPLICA);
 }
 
-/* Asks the upstream, as the client, for a sign of life (a CoAP ping, RFC 7252
- * 4.3).  Only that flow is given up when none comes.  An upstream that isn't
- * trusted gets none: its address may have another service by now. */
+/* Sends the upstream a CoAP ping (RFC 7252 4.3) from the client's address.
+ * Without an answer only this flow is given up.  No ping is sent to an
+ * upstream without a valid lease: its address may belong to another service
+ * by now. */
 static void
 check_feed(core_t *c, flow_t *f)
 {
@@ -330,7 +332,7 @@
         return;
     }
     if (owner_of(c, pin_owner_key(c, f)) == c->p.self) {
-        own(c, f); /* so that this home's backup gets it in turn */
+        own(c, f); /* then this owner's backup gets a replica */
     }
     sync_flow(c, f);
     if (f->flags & FLOW_REPLICA) {
@@ -341,7 +343,7 @@
     }
 }
 
-/* Looks at a part of the table in each tick. */
+/* Checks a part of the table in each tick. */
 void
 flow_sweep(core_t *c)
 {
@@ -399,8 +401,9 @@
         const up_t *up = &c->ups[u];
 
         if (up->flows > 0 && up_lost(c, u) && !up_lease_valid(c, u)) {
-            /* The pin of an upload outlives its upstream's silence: it is all
-             * that tells that a block is there, and "not run" is false. */
+            /* The pin of an upload stays while its upstream is silent: it
+             * is the only record that a block may be there, so that "not
+             * run" would be false. */
             end_flows_of(c, u, FLOW_REPLICA | FLOW_UPLOAD);
         }
     }
--- a/core/map.c
+++ b/core/map.c
@@ -1,4 +1,5 @@
-/* A map from 64-bit names to indices.  Entries are replaced, never removed. */
+/* A hash table from 64-bit keys to indices.  Entries are replaced, never
+ * removed. */
 #include "core/state.h"
 
 #include <errno.h>
--- a/core/pins.c
+++ b/core/pins.c
@@ -1,15 +1,16 @@
-/* Flows at their home: which upstream a flow is pinned to. */
+/* Flows at their owner: selects the upstream and pins the flow to it. */
 #include "core/state.h"
 
 #include <string.h>
 
-/* Steered datagrams of a flow, until its hint is sent. */
+/* Datagrams of a flow forwarded here before its hint is sent. */
 #define HINT_THRESHOLD 3
-/* So long after a change an unknown flow may be an old one. */
+/* For this period after a table change, an unknown flow may be an old one. */
 #define TABLE_CHANGE_GRACE_MS 3000
 
-/* The upstream for a new flow: the less loaded of the two choices.  A home in
- * doubt takes the first, as another home would. */
+/* Selects the upstream for a new flow: the less loaded of the first two
+ * candidates.  An owner with uncertain ownership selects the first, as any
+ * other owner would. */
 static up_ix_t
 choose_for_flow(core_t *c, service_t *s, uint64_t key)
 {
@@ -29,15 +30,16 @@
     load2 = (uint64_t)c->ups[b->candidate[1]].flows *
             c->ups[b->candidate[0]].conf.weight;
     if (s->conf.prefer == PREFER_STABILITY) {
-        /* Each flow on the second choice needs a copy at the backup; taken
-         * only when the first is a tenth busier. */
+        /* A flow on the second candidate needs a replica at the backup, so
+         * the second is used only when the first is a tenth busier. */
         load2 += load2 / 10 + 1;
     }
     return load2 < load1 ? b->candidate[1] : b->candidate[0];
 }
 
-/* An unknown flow of a bucket that changed moments ago, at a home that may
- * have lost its memory, is more likely an old one: it stays where it was. */
+/* Selects the upstream for an unknown flow.  If the flow's bucket has just
+ * changed and this owner may lack older pins, the flow is more likely an
+ * established one: it stays at its previous upstream. */
 static up_ix_t
 choose_for_unknown(core_t *c, service_t *s, uint64_t key)
 {
@@ -54,7 +56,7 @@
 maybe_hint(core_t *c, const dgram_t *d, flow_t *f)
 {
     if (d->from == 0 || f->older_up != UP_NONE) {
-        return; /* two upstreams don't fit a hint */
+        return; /* a hint names only one upstream */
     }
     if (f->forwards < HINT_THRESHOLD) {
         f->forwards++;
@@ -105,9 +107,8 @@
     send_to_pin(c, d, f, false);
 }
 
-/* The feed's pin, if it can be used.  Another feed of the same flow doesn't go
- * to an upstream that takes no new work; the older ones stay where they are.
- */
+/* The pin of a feed, if usable.  A further feed of the same flow is not
+ * sent to an upstream that takes no new work; the older feeds stay there. */
 static flow_t *
 feed_pin(core_t *c, const dgram_t *d)
 {
@@ -116,7 +117,7 @@
     up_ix_t up;
 
     if (f == NULL || (f->flags & FLOW_UPLOAD)) {
-        return NULL; /* an upload's pin says nothing about feeds */
+        return NULL; /* the pin of an upload does not apply to feeds */
     }
     if (up_lost(c, f->up)) {
         flow_remove(c, f);
@@ -136,7 +137,8 @@
     return f;
 }
 
-/* Opens a feed; NULL when it was refused, or goes without a pin. */
+/* Opens a feed.  Returns NULL when it was refused or forwarded without a
+ * pin. */
 static flow_t *
 feed_open(core_t *c, const dgram_t *d)
 {
@@ -161,7 +163,8 @@
     return f;
 }
 
-/* GET with Observe: opens, refreshes or ends a feed (RFC 7641). */
+/* Handles a GET with Observe, which opens, refreshes or ends a feed (RFC
+ * 7641). */
 void
 feed_at_owner(core_t *c, const dgram_t *d)
 {
@@ -181,7 +184,7 @@
 }
 
 /* An ACK, RST or ping goes to the upstream whose message it answers.  When
- * that isn't known it goes to each that it can be: one that has no such
+ * that is unknown, it goes to all possible ones: an upstream without such a
  * message ignores it (RFC 7252 4.2). */
 static void
 empty_unknown(core_t *c, const dgram_t *d)
--- a/core/request.c
+++ b/core/request.c
@@ -16,13 +16,11 @@
 #define RETRIES_MAX 2       /* at other upstreams, of one request */
 #define RETRY_BUDGET_MIN 10 /* retries allowed whatever the budget */
 #define PERCENT 100
-#define BLOCK_MORE 8 /* RFC 7959 2.2 */
-#define FIRST_PROBE_WAIT_MS                                                   \
-    1000 /* longest wait for the first probe reply of a new upstream */
-#define FENCE_FIRST_RETRY_MS                                                  \
-    60                    /* until a cancellation is sent a second time */
-#define FENCE_RETRY_MS 60 /* between later cancellations of a request */
-#define FENCE_RETRY_MAX 6 /* such intervals before giving up */
+#define BLOCK_MORE 8             /* RFC 7959 2.2 */
+#define FIRST_PROBE_WAIT_MS 1000 /* limit, for the reply of a new upstream */
+#define FENCE_FIRST_RETRY_MS 60  /* until the second cancellation */
+#define FENCE_RETRY_MS 60        /* between later cancellations of a request */
+#define FENCE_RETRY_MAX 6        /* such intervals before giving up */
 
 static service_t *
 service_of(core_t *c, const ex_t *ex)
--- a/core/send.c
+++ b/core/send.c
@@ -1,4 +1,5 @@
-/* What goes out: datagrams, steers, hints, and answers of our own. */
+/* Output: datagrams, messages to other instances, answers that originate
+ * here. */
 #include "core/state.h"
 
 #include <string.h>
@@ -119,8 +120,8 @@
     }
 }
 
-/* Seconds until a refused caller may try again: spread, so that those who
- * were refused together don't return together. */
+/* Seconds until a refused caller may retry (Max-Age).  Randomised, so that
+ * callers refused together don't return together. */
 uint32_t
 retry_after_s(core_t *c, const service_t *s)
 {
--- a/core/state.h
+++ b/core/state.h
@@ -58,9 +58,8 @@
     uint64_t previous; /* the owner before this one; 0: none, or unreachable */
     ms_t owner_since;  /* when OWNER was set, by this instance's clock */
     bool backup_joins; /* BACKUP is JOINING and will take over */
-    bool changed; /* by the last update: sync_target() or the hand-over differs
-                   */
-    bool may_own; /* self is its owner or backup, or would be if ACTIVE */
+    bool changed;      /* sync_target() or the hand-over has changed */
+    bool may_own;      /* self is its owner or backup, or would be if ACTIVE */
 } slot_t;
 
 /* The fields of a member that the core uses. */
@@ -91,8 +90,8 @@
 } previous_t;
 
 typedef struct {
-    up_ix_t
-        candidate[CANDIDATES]; /* by rank; the third only for PREFER_BALANCE */
+    /* by rank; the third only for PREFER_BALANCE */
+    up_ix_t candidate[CANDIDATES];
     uint8_t n_previous;
     previous_t previous[PREVIOUS_MAX];
 } bucket_t;
@@ -102,11 +101,9 @@
 typedef struct {
     bool used;         /* false: its address was moved to another service */
     bool listed;       /* in the configuration in force */
-    ms_t listed_since; /* no instance listed it before; INT64_MIN / 2: unknown
-                        */
+    ms_t listed_since; /* first anywhere; INT64_MIN / 2: unknown */
     ms_t unlisted_at;
-    ms_t hinted_until;  /* lease end of the latest forwarding hint to it held
-                           here */
+    ms_t hinted_until;  /* lease end of the last hint here to it */
     bool draining;      /* by its own report */
     bool conf_draining; /* by configuration */
     service_ix_t service;
@@ -127,8 +124,7 @@
     uint32_t reported;  /* busy and queued requests in its last report */
     uint32_t in_flight_at_probe; /* IN_FLIGHT when the last probe was sent */
     uint32_t same_reports;       /* consecutive reports with the same value */
-    uint32_t finished_since_change; /* requests finished since the reported
-                                       value changed */
+    uint32_t finished_since_change; /* requests, since REPORTED changed */
     ms_t eject_until;
     uint32_t sheds; /* consecutive */
 } up_t;
@@ -149,15 +145,13 @@
 typedef struct {
     uint64_t key;
     uint32_t next; /* hash chain, index + 1 */
-    uint32_t
-        last; /* time of the last datagram, tenths of seconds since start */
+    uint32_t last; /* last datagram, tenths of seconds since start */
     uint32_t feed; /* index + 1 into feeds, 0: none */
     up_ix_t up;
     up_ix_t older_up; /* upstream of older feeds of the flow, or UP_NONE */
     service_ix_t service;
     uint8_t flags;
-    uint8_t forwards; /* datagrams forwarded here by peers, counted up to
-                         HINT_THRESHOLD */
+    uint8_t forwards; /* datagrams from peers, up to HINT_THRESHOLD */
 } flow_t;
 _Static_assert(sizeof(flow_t) == 32, "hundreds of millions are kept");
 
--- a/core/sync.c
+++ b/core/sync.c
@@ -1,12 +1,13 @@
-/* Copies of pins, so that the next home knows what the table doesn't tell. */
+/* Replication of pins, so that the next owner has those that differ from
+ * the table. */
 #include "core/state.h"
 
 #include <string.h>
 
-#define PIN_BYTES 20         /* about, in a message with others */
+#define PIN_BYTES 20         /* approximate size of a pin in a message */
 #define MSG_BYTES 70         /* headers and tag of a message */
-#define PACED_BYTES 100      /* each tick, when nothing is handed over */
-#define HAND_OVER_BYTES 4000 /* each tick, when a home moves by plan */
+#define PACED_BYTES 100      /* per tick, when nothing is handed over */
+#define HAND_OVER_BYTES 4000 /* per tick, during a planned hand-over */
 
 static void
 batch_send(core_t *c, int i)
@@ -71,7 +72,8 @@
     return true;
 }
 
-/* Sends F to the next home if that couldn't work out its pin. */
+/* Replicates F to the next owner, unless that can derive the pin from the
+ * table. */
 void
 sync_flow(core_t *c, flow_t *f)
 {
@@ -95,8 +97,9 @@
 {
     flow_t *f = flow_find(c, pin->flow);
     up_ix_t up = up_find_id(c, pin->upstream);
-    /* Its home has it.  When that changes, sync_targets_changed() has it
-     * passed on: this may be the only instance left that knows it. */
+    /* Synced, since the owner has the pin.  When the owner changes,
+     * sync_targets_changed() clears the flag and the pin is replicated
+     * again: this may be the only instance left that has it. */
     uint8_t flags = FLOW_REPLICA | FLOW_SYNCED;
 
     if (up == UP_NONE) {
@@ -144,7 +147,7 @@
     }
 }
 
-/* The members changed, and with them perhaps who holds the copies. */
+/* A membership change may have changed the sync targets. */
 void
 sync_targets_changed(core_t *c)
 {
--- a/core/table.c
+++ b/core/table.c
@@ -1,6 +1,6 @@
-/* Tables: which upstreams a flow prefers, the same at every instance that has
- * the version.  A bucket's order of upstreams is their weighted rendezvous
- * rank, so a change moves the fewest buckets. */
+/* Tables: the upstreams that a flow prefers, the same at every instance
+ * with the same version.  The upstreams of a bucket are ordered by weighted
+ * rendezvous hashing, so a change moves as few buckets as possible. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -10,7 +10,7 @@
 
 #define BUCKETS_MIN 256
 #define BUCKETS_PER_UPSTREAM 32
-#define FLOW_GROUPS 8 /* homes that share a service's flows */
+#define FLOW_GROUPS 8 /* owners that share a service's flows */
 #define GROUP_SALT 0x666c6f77
 
 service_ix_t
@@ -27,9 +27,10 @@
     return &s->buckets[key & (s->n_buckets - 1)];
 }
 
-/* Requests of a service meet at one home, which so knows all that is in
- * progress at its upstreams.  A service with more than GROUP_UPSTREAMS has a
- * home for each such number; each then knows its share. */
+/* The requests of a service have one owner, which so has all that is in
+ * progress at its upstreams.  A service with more than GROUP_UPSTREAMS
+ * upstreams has an owner for each such number of them; each then has a
+ * share of the requests. */
 uint64_t
 request_owner_key(const service_t *s, uint64_t flow)
 {
@@ -38,8 +39,9 @@
     return hash_mix(s->id, group);
 }
 
-/* A service's flows have FLOW_GROUPS homes and not one each, so that an
- * instance is home for few services and need know only their upstreams. */
+/* The flows of a service have FLOW_GROUPS owners instead of one for each
+ * flow, so that an instance owns flows of few services and needs only their
+ * upstreams. */
 uint64_t
 flow_owner_key(const service_t *s, uint64_t flow)
 {
@@ -68,7 +70,7 @@
     return -(double)u->conf.weight / log(x);
 }
 
-/* Puts U into the order of choices by its score. */
+/* Inserts U into the candidates in the order of the scores. */
 static void
 rank_insert(bucket_t *out, double *scores, up_ix_t u, double v)
 {
@@ -104,7 +106,7 @@
         }
     }
     if (s->conf.prefer == PREFER_STABILITY) {
-        /* One choice less to ask when in doubt. */
+        /* One candidate fewer to cancel at while ownership is uncertain. */
         out->candidate[CANDIDATES - 1] = UP_NONE;
     }
 }
@@ -138,8 +140,8 @@
     return n;
 }
 
-/* More buckets: bucket B of the old table becomes B and B + old size, which
- * had the same choices. */
+/* Enlarges the table to N buckets: bucket B of the old table becomes B and
+ * B + old size, which had the same candidates. */
 static int
 grow(service_t *s, uint32_t n)
 {
@@ -214,8 +216,9 @@
     return n + 1;
 }
 
-/* A choice is past when every instance has the version that ended it, and no
- * caller still sends copies of a request made before. */
+/* A previous set of candidates expires when every instance has the version
+ * that replaced it and no caller can still send copies of a request made
+ * before. */
 static bool
 is_expired(const core_t *c, const previous_t *e)
 {
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -1,4 +1,4 @@
-/* Upstreams: who may be trusted, how loaded each is, and which one to take. */
+/* Upstreams: identity probes and leases, load, ejection, cancellations. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -8,16 +8,16 @@
 #include <string.h>
 
 #define PROBE_TAG 'P'
-#define PROBE_RETRY_MS 300     /* after a probe went unanswered */
-#define PROBE_TIMEOUT_MS 250   /* an answer later than this is a miss */
-#define MISSES_INELIGIBLE 3    /* no new work after so many in a row */
-#define MISSES_LOST 8          /* its flows are given up after so many */
-#define REPORT_MAX_AGE_MS 4000 /* a load report older than this is ignored */
-#define FROZEN_REPORTS 4       /* unchanged so often ... */
+#define PROBE_RETRY_MS 300     /* after an unanswered probe */
+#define PROBE_TIMEOUT_MS 250   /* a later answer counts as a miss */
+#define MISSES_INELIGIBLE 3    /* consecutive, until no new work is sent */
+#define MISSES_LOST 8          /* consecutive, until its flows are given up */
+#define REPORT_MAX_AGE_MS 4000 /* an older load report is ignored */
+#define FROZEN_REPORTS 4       /* frozen: unchanged in so many reports ... */
 #define FROZEN_FINISHED 4      /* ... while so many requests finished */
-#define STUCK_REPORTS 8        /* unchanged so often, whatever finished */
-#define SLOW_START_MS 8000 /* a started upstream gets its full share after */
-#define SHEDS_EJECT 3      /* sheds in a row that eject */
+#define STUCK_REPORTS 8        /* frozen: in so many, whatever finished */
+#define SLOW_START_MS 8000     /* from the start until the full share */
+#define SHEDS_EJECT 3          /* consecutive sheds before ejection */
 #define EJECT_MS 2000
 #define LOAD_UNIT 1000
 
@@ -103,11 +103,11 @@
            up_lease_valid(c, u);
 }
 
-/* Is the report worth anything: recent, and not frozen?  A report that stays
- * the same while requests come and go is a stuck gauge; believing it sends
- * everything to the upstream whose gauge stuck low, and nothing to one whose
- * gauge stuck high, where then nothing finishes: so a value that stays for
- * long is not believed either. */
+/* True when the load report is recent and not frozen.  A report that stays
+ * the same while requests come and go is a stuck gauge.  A gauge stuck low
+ * would draw all requests to its upstream.  A gauge stuck high would keep
+ * all requests away, and then none finishes there: so a value unchanged for
+ * long is ignored too. */
 static bool
 report_usable(const core_t *c, const up_t *up)
 {
@@ -118,8 +118,9 @@
     return c->now - up->probe_sent < REPORT_MAX_AGE_MS && !frozen;
 }
 
-/* Requests in progress at U: this home's, and those of others that its report
- * shows beyond this home's at that time. */
+/* Requests in progress at UP: those of this owner, plus the excess of the
+ * report over this owner's requests at the time of the probe, which are
+ * those of others. */
 static uint32_t
 busy_at(const core_t *c, const up_t *up)
 {
@@ -131,8 +132,8 @@
     return up->in_flight + up->uploads + others;
 }
 
-/* A cold upstream looks idle and would draw all new work: its slots count for
- * a quarter at first, and for more as it warms up. */
+/* Slow start: a cold upstream looks idle and would attract all new work.
+ * Its slots count for a quarter at first, and for more as it warms up. */
 static uint32_t
 warm_slots(const core_t *c, const up_t *up)
 {
@@ -233,15 +234,15 @@
     up->in_flight_at_probe = up->in_flight;
     up->probe_next = c->now + PROBE_TIMEOUT_MS;
     if (up->probe_misses < UINT8_MAX) {
-        up->probe_misses++; /* until the answer comes */
+        up->probe_misses++; /* reset when the answer arrives */
     }
     c->services[up->service].stats.probes++;
     send_own_request(c, u, &m);
 }
 
-/* An instance asks the upstreams that it may have to choose from or to send
- * to, not all: at 120,000 of them that would be all that it does.  One just
- * taken out is asked about copies for a while. */
+/* An instance probes only upstreams that it may select or send to: probing
+ * all 120,000 would take all of its time.  A recently removed upstream is
+ * still probed, since it may have to be asked about copies of requests. */
 static bool
 probe_needed(const core_t *c, const up_t *up)
 {
@@ -277,8 +278,8 @@
     up->reported = reported;
 }
 
-/* True for a new epoch: the upstream has started anew and has lost its feeds,
- * its uploads and what it knew of duplicates. */
+/* Returns true for a new epoch: the upstream has restarted and lost its
+ * feeds, its uploads and its record of duplicates. */
 static bool
 update_epoch(core_t *c, up_ix_t u, uint32_t epoch, json_int_t age_ms)
 {
@@ -296,7 +297,7 @@
     return restarted;
 }
 
-/* True: the upstream has started anew. */
+/* Returns true when the upstream has restarted. */
 static bool
 handle_load_report(core_t *c, up_ix_t u, const json_t *j)
 {
@@ -323,8 +324,8 @@
     up->draining = json_is_true(json_object_get(j, "draining"));
     up->verified = true;
     up->probe_misses = 0;
-    /* Counted from the question: an answer that waited somewhere says how
-     * things were, not how they are. */
+    /* From the time of the probe: a delayed answer shows a past state, not
+     * the current one. */
     up->lease_until = up->probe_sent + TRUST_MS;
     up->probe_next = up->probe_sent + PROBE_MS;
     return restarted;
@@ -338,7 +339,7 @@
     bool restarted = false;
 
     if (m->code >> 5 != 2 || j == NULL) {
-        /* Refused: the address serves another service now. */
+        /* Rejected: the address serves another service now. */
         up->wrong_service |= m->code >> 5 == 4 && m->token[0] == PROBE_TAG;
     }
     else if (m->token_len == 5 && m->token[0] == PROBE_TAG &&
@@ -349,7 +350,7 @@
     return restarted;
 }
 
-/* Asks U to bar the request of EX. */
+/* Sends U a cancellation of the request of EX. */
 void
 up_cancel(core_t *c, const ex_t *ex, up_ix_t u)
 {
@@ -374,8 +375,9 @@
 
 /* ---- Ejection ---- */
 
-/* At most a third of a service's upstreams are ejected at once: when all
- * shed, the service is full, and ejecting them would refuse everything. */
+/* At most a third of a service's upstreams are ejected at once: when all of
+ * them shed, the service is full, and ejecting them would refuse every
+ * request. */
 static bool
 may_eject(const core_t *c, const service_t *s)
 {
