--- a/core/core.c
+++ b/core/core.c
@@ -147,8 +147,8 @@
 static ms_t
 first_listing(core_t *c)
 {
-    bool in_touch = !c->suspects && c->now - c->uncertain_at >= DOUBT_MS;
-    bool known = in_touch;
+    bool in_contact = !c->suspects && c->now - c->uncertain_at >= DOUBT_MS;
+    bool known = in_contact;
 
     if (c->first_version) {
         known = c->history_complete || c->last_call - c->now >= DOUBT_MS;
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -154,8 +154,8 @@
     if (stays) {
         return; /* moved to the end, request_tick() would visit it again */
     }
-    list_remove(&ex->in);
-    list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->in);
+    list_remove(&ex->link);
+    list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->link);
     if (!is_active(state) && c->n_buf_free < c->n_bufs / FREE_BUFS_DIVISOR) {
         ex_free_buf(c, ex);
     }
@@ -194,8 +194,8 @@
                  .service = d->service,
                  .up = UP_NONE,
                  .sent = c->now};
-    list_init(&ex->in);
-    list_append(&c->ex_active, &ex->in);
+    list_init(&ex->link);
+    list_append(&c->ex_active, &ex->link);
     *head = i;
     c->ex_used++;
     ex->cls = class_of(d->m);
@@ -223,7 +223,7 @@
         link = &c->exs[*link - 1].next;
     }
     *link = ex->next;
-    list_remove(&ex->in);
+    list_remove(&ex->link);
     ex_free_buf(c, ex);
     ex->state = EX_FREE;
     ex->next = c->ex_free;
@@ -274,7 +274,7 @@
 ex_expire(core_t *c)
 {
     while (!list_empty(&c->ex_kept)) {
-        ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, in);
+        ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, link);
         if (c->now - ex->sent < retention_ms(c)) {
             break;
         }
--- a/core/flows.c
+++ b/core/flows.c
@@ -72,7 +72,7 @@
 }
 
 static void
-count_pin(core_t *c, const flow_t *f, int by)
+count_pin(core_t *c, const flow_t *f, int delta)
 {
     up_t *u = &c->ups[f->up];
 
@@ -80,10 +80,10 @@
         return;
     }
     if (!(f->flags & FLOW_UPLOAD)) {
-        u->flows += (uint32_t)by;
+        u->flows += (uint32_t)delta;
     }
     else if (!(f->flags & FLOW_ENDED)) {
-        u->uploads += (uint32_t)by;
+        u->uploads += (uint32_t)delta;
     }
 }
 
@@ -157,7 +157,7 @@
 }
 
 static void
-own(core_t *c, flow_t *f)
+claim(core_t *c, flow_t *f)
 {
     if (f->flags & FLOW_REPLICA) {
         f->flags &= (uint8_t)~FLOW_REPLICA;
@@ -171,7 +171,7 @@
     flow_t *f = flow_find(c, key);
 
     if (f != NULL) {
-        own(c, f);
+        claim(c, f);
     }
     return f;
 }
@@ -332,7 +332,7 @@
         return;
     }
     if (owner_of(c, pin_owner_key(c, f)) == c->p.self) {
-        own(c, f); /* then this owner's backup gets a replica */
+        claim(c, f); /* then this owner's backup gets a replica */
     }
     sync_flow(c, f);
     if (f->flags & FLOW_REPLICA) {
--- a/core/input.c
+++ b/core/input.c
@@ -68,13 +68,13 @@
 static bool
 flow_is_local(core_t *c, const dgram_t *d, const flow_t *f)
 {
-    bool asked;
+    bool from_owner;
 
     if (f == NULL || up_lost(c, f->up)) {
         return false;
     }
-    asked = d->from != 0 && d->from == owner_of(c, pin_owner_key(c, f));
-    return asked || !(f->flags & FLOW_REPLICA);
+    from_owner = d->from != 0 && d->from == owner_of(c, pin_owner_key(c, f));
+    return from_owner || !(f->flags & FLOW_REPLICA);
 }
 
 static void
--- a/core/map.c
+++ b/core/map.c
@@ -19,7 +19,7 @@
 }
 
 static uint32_t
-place(const map_t *m, uint64_t key)
+find_place(const map_t *m, uint64_t key)
 {
     uint32_t i = (uint32_t)key & m->mask;
 
@@ -37,7 +37,7 @@
     if (m->keys == NULL) {
         return MAP_NONE;
     }
-    i = place(m, key);
+    i = find_place(m, key);
     return m->keys[i] == key ? m->values[i] : MAP_NONE;
 }
 
@@ -56,7 +56,7 @@
     }
     for (uint32_t i = 0; m->keys != NULL && i <= m->mask; i++) {
         if (m->keys[i] != 0) {
-            uint32_t to = place(&big, m->keys[i]);
+            uint32_t to = find_place(&big, m->keys[i]);
             big.keys[to] = m->keys[i];
             big.values[to] = m->values[i];
         }
@@ -86,7 +86,7 @@
     if (rc < 0) {
         return rc;
     }
-    i = place(m, key);
+    i = find_place(m, key);
     m->used += m->keys[i] == 0;
     m->keys[i] = key;
     m->values[i] = value;
--- a/core/request.c
+++ b/core/request.c
@@ -47,10 +47,10 @@
 can_cancel_at(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
-    bool forgot = c->now - up->epoch_since < DOUBT_MS &&
-                  up->epoch_since - up->listed_since >= TRUST_MS;
+    bool lost_state = c->now - up->epoch_since < DOUBT_MS &&
+                      up->epoch_since - up->listed_since >= TRUST_MS;
 
-    return up_lease_valid(c, u) && !forgot;
+    return up_lease_valid(c, u) && !lost_state;
 }
 
 /* True when one of the N upstreams AT is new and has not answered a probe
@@ -279,7 +279,7 @@
 
 /* The request runs or has run at U: sending a copy there brings the answer. */
 static void
-found_at(core_t *c, ex_t *ex, up_ix_t u)
+attach_to_copy(core_t *c, ex_t *ex, up_ix_t u)
 {
     ex->up = u;
     ex->refuse_when_fenced = false;
@@ -311,7 +311,7 @@
         return;
     }
     if (strcmp(state, "barred") != 0) {
-        found_at(c, ex, u);
+        attach_to_copy(c, ex, u);
         return;
     }
     if (!cancelled_by_self(c, by)) {
@@ -721,6 +721,6 @@
 request_tick(core_t *c)
 {
     LIST_EACH (l, &c->ex_active) {
-        check_active(c, LIST_OWNER(l, ex_t, in));
+        check_active(c, LIST_OWNER(l, ex_t, link));
     }
 }
--- a/core/send.c
+++ b/core/send.c
@@ -125,7 +125,7 @@
 uint32_t
 retry_after_s(core_t *c, const service_t *s)
 {
-    uint32_t least = s->conf.come_back_s > 0 ? s->conf.come_back_s : 1;
+    uint32_t min_s = s->conf.come_back_s > 0 ? s->conf.come_back_s : 1;
 
-    return least + rng_below(&c->rng, least + 1);
+    return min_s + rng_below(&c->rng, min_s + 1);
 }
--- a/core/state.h
+++ b/core/state.h
@@ -186,7 +186,7 @@
 } ex_state_t;
 
 typedef struct {
-    link_t in;     /* in ex_active or ex_kept (oldest first) */
+    link_t link;   /* in ex_active or ex_kept (oldest first) */
     uint64_t key;  /* flow key */
     uint32_t next; /* hash chain, index + 1 */
     ex_state_t state;
--- a/core/sync.c
+++ b/core/sync.c
@@ -79,14 +79,14 @@
 {
     uint64_t key = pin_owner_key(c, f);
     uint64_t to = sync_target(c, key);
-    bool over = handing_over(c, key);
+    bool handover = handing_over(c, key);
     const bucket_t *b = bucket_of(&c->services[f->service], f->key);
     pin_t pin = {.flow = f->key,
                  .upstream = c->ups[f->up].conf.id,
                  .kind = f->flags & FLOW_UPLOAD ? PIN_UPLOAD : PIN_FLOW};
 
     if (to == 0 || (f->flags & FLOW_SYNCED) ||
-        (f->up == b->candidate[0] && !over) || !spend_budget(c)) {
+        (f->up == b->candidate[0] && !handover) || !spend_budget(c)) {
         return;
     }
     sync_add(c, to, &pin);
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -122,7 +122,7 @@
  * report over this owner's requests at the time of the probe, which are
  * those of others. */
 static uint32_t
-busy_at(const core_t *c, const up_t *up)
+requests_at(const core_t *c, const up_t *up)
 {
     uint32_t others = 0;
 
@@ -150,7 +150,7 @@
 up_load(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
-    uint64_t busy = busy_at(c, up);
+    uint64_t busy = requests_at(c, up);
 
     return (uint32_t)((busy + 1) * LOAD_UNIT * LOAD_UNIT / warm_slots(c, up));
 }
@@ -160,9 +160,9 @@
 {
     const up_t *up = &c->ups[u];
     const conf_service_t *s = &c->services[up->service].conf;
-    uint32_t kept = s->urgent_slots < up->conf.slots ? s->urgent_slots
-                                                     : up->conf.slots - 1;
-    uint32_t busy = busy_at(c, up);
+    uint32_t reserved = s->urgent_slots < up->conf.slots ? s->urgent_slots
+                                                         : up->conf.slots - 1;
+    uint32_t busy = requests_at(c, up);
 
     switch (cls) {
     case CLASS_URGENT:
@@ -170,7 +170,7 @@
     case CLASS_READ:
         return busy < up->conf.slots + s->queue / 2;
     case CLASS_BULK:
-        return busy < up->conf.slots - kept;
+        return busy < up->conf.slots - reserved;
     case CLASS_FEED:
     case CLASS_OPAQUE:
     case CLASS_COUNT:
@@ -246,9 +246,9 @@
 static bool
 probe_needed(const core_t *c, const up_t *up)
 {
-    bool chosen = up->listed || c->now - up->unlisted_at < DOUBT_MS;
+    bool selectable = up->listed || c->now - up->unlisted_at < DOUBT_MS;
 
-    return (chosen && c->services[up->service].may_own) || up->flows > 0 ||
+    return (selectable && c->services[up->service].may_own) || up->flows > 0 ||
            up->uploads > 0 || up->in_flight > 0 || c->now < up->hinted_until;
 }
 
