--- a/core/core.h
+++ b/core/core.h
@@ -24,7 +24,7 @@
 extern "C" {
 #endif
 
-/* After this period with exclusive ownership and a settled table, no client
+/* After this period without uncertainty about members or tables, no client
  * can still send a copy of an earlier request: MAX_TRANSMIT_SPAN, 45 s (RFC
  * 7252 4.8.2), plus the time for a version to spread. */
 #define DOUBT_MS 50000
@@ -63,8 +63,7 @@
 
 typedef enum {
     CORE_TO_CLIENT,   /* from the service's address to the client */
-    CORE_TO_UPSTREAM, /* with the proxy header, from the own or return socket
-                       */
+    CORE_TO_UPSTREAM, /* from the own or return socket, with proxy header */
     CORE_TO_PEER      /* a message for another instance */
 } core_out_kind_t;
 
@@ -116,7 +115,7 @@
  * the previous version stays in force. */
 int core_set_conf(core_t *c, ms_t now, const conf_t *conf);
 /* Declares that no instance had a version before the first one applied
- * here. Call before the first core_set_conf().  Known from a peer for which
+ * here.  Call before the first core_set_conf().  Known from a peer for which
  * this was declared, or when the instance got the site's first version from
  * the platform and saw no member that had started earlier. */
 void core_history_complete(core_t *c);
@@ -155,7 +154,7 @@
  * has caught up. */
 void core_pending(const core_t *c, uint32_t *exchanges, uint32_t *pins);
 
-/* ---- What operators see ---- */
+/* ---- Statistics ---- */
 
 typedef struct {
     uint64_t datagrams_in, datagrams_out;
--- a/core/request.c
+++ b/core/request.c
@@ -2,11 +2,12 @@
  *
  * The hazard is a duplicate execution: copy 1 of a non-idempotent request
  * ran at one upstream, copy 2 goes to another.  An exclusive owner has
- * records of where each copy went.  An owner with uncertain ownership has
- * not, but a copy can only be at one of the candidates, current or
- * previous.  Such an owner has the request cancelled at all of them except
- * the target before it forwards (fencing).  At each upstream, the first
- * owner to cancel a request has the right to run it. */
+ * records of where each copy went.  Other owners may lack such a record, but
+ * a copy can only be at one of the candidates, current or previous.  Such an
+ * owner has the request cancelled at all of them except the target before it
+ * forwards the request (fencing).  At each upstream, the first owner to
+ * cancel a request decides on it there.
+ */
 #include "core/state.h"
 
 #include <jansson.h>
@@ -38,11 +39,12 @@
            !candidates_differ(c, s, ex->key);
 }
 
-/* ---- Fences ---- */
+/* ---- Fencing ---- */
 
 /* True when U can be asked about a copy and would remember it.  False for
- * an upstream that restarted after it may first have got work; a restart
- * takes at least TRUST_MS. */
+ * an upstream that has restarted since it may first have got work.  A restart
+ * takes at least TRUST_MS, so an epoch that began sooner than that after the
+ * first listing is the first one. */
 static bool
 can_cancel_at(const core_t *c, up_ix_t u)
 {
@@ -71,7 +73,7 @@
 static void end_unknown(core_t *c, ex_t *ex);
 
 /* Has EX cancelled at every upstream that may hold a copy, except its
- * target. The outcome is unknown when one of these can't be asked, or when
+ * target.  The outcome is unknown when one of these can't be asked, or when
  * the target has restarted and so lost its record of duplicates. */
 static void
 fence(core_t *c, ex_t *ex)
@@ -195,10 +197,10 @@
     send_upstream(c, ex->up, &ex->client, true, ex_bytes(c, ex), ex->len);
 }
 
-/* ---- Choice of the upstream ---- */
+/* ---- Upstream selection ---- */
 
 /* The least loaded of the N upstreams LIST with room for CLS; FIRST wins a
- * tie. The owner sees all requests of the service, so it needs no random
+ * tie.  The owner sees all requests of the service, so it needs no random
  * choice. */
 static up_ix_t
 least_loaded(core_t *c, const up_ix_t *list, uint32_t n, up_ix_t first,
@@ -329,7 +331,7 @@
     forward(c, ex);
 }
 
-/* ---- Copies of a known request ---- */
+/* ---- Duplicates of a recorded request ---- */
 
 /* Sends a duplicate to the upstream of the first copy, and only while that
  * upstream still remembers the request. */
@@ -556,7 +558,7 @@
 
     ex_count(c, ex, false);
     if (ex->found) {
-        end_unknown(c, ex); /* it was found there, and now is not */
+        end_unknown(c, ex); /* found there before, but not run */
         return;
     }
     if (ex->tries >= RETRIES_MAX || !retry_allowed(s) ||
@@ -627,7 +629,7 @@
     answer_done(c, ex, m, data, len);
 }
 
-/* ---- Answers of upstreams that bar a request ---- */
+/* ---- Replies to cancellations ---- */
 
 static void
 parse_cancel_reply(core_t *c, up_ix_t u, const coap_msg_t *m, const json_t *j)
--- a/core/state.h
+++ b/core/state.h
@@ -247,8 +247,7 @@
     uint64_t version, lowest;
     bool leaving;
     bool first_version;    /* the version in force is the first one here */
-    bool history_complete; /* no instance had a version before the first one
-                              here */
+    bool history_complete; /* none anywhere before the first one here */
     bool met_older;        /* saw a member that started before this instance */
     bool handover;     /* a member joins: pins are handed over as planned */
     bool suspects;     /* some member is SUSPECT */
@@ -331,7 +330,7 @@
 void service_update_may_own(core_t *c, service_t *s);
 /* Writes to OUT all upstreams to which another owner may have sent a
  * request of KEY: the current candidates, and previous ones that have not
- * expired. Returns their number. */
+ * expired.  Returns their number. */
 int all_candidates(core_t *c, service_t *s, uint64_t key, up_ix_t *out);
 /* True when some instance may still use a previous candidate set of KEY. */
 bool candidates_differ(const core_t *c, service_t *s, uint64_t key);
