--- a/core/input.c
+++ b/core/input.c
@@ -23,8 +23,8 @@
         return false;
     }
     if (owner == 0) {
-        /* This instance has just started and has neither an owner nor
-         * records: the caller's next copy reaches an instance that has. */
+        /* No owner is known: this instance has just started and has no records
+         * either.  The caller's next copy reaches an instance that has. */
         c->services[d->service].stats.untrusted++;
         return true;
     }
--- a/core/state.h
+++ b/core/state.h
@@ -323,6 +323,7 @@
 /* Reserves room for N_UPS upstreams, as table_build() needs.  On -ENOMEM
  * the table stays as it was. */
 int table_reserve(service_t *s, uint32_t n_ups);
+/* The key by which the owner of the requests of FLOW is found. */
 uint64_t request_owner_key(const service_t *s, uint64_t flow);
 /* The key by which the owner of a flow is found. */
 uint64_t flow_owner_key(const service_t *s, uint64_t flow);
@@ -421,8 +422,8 @@
 /* sync.c */
 
 void sync_flush(core_t *c);
-void
-sync_refill(core_t *c); /* sets the budget for paced replication, each tick */
+/* Sets the budget for paced replication, each tick. */
+void sync_refill(core_t *c);
 void sync_flow(core_t *c, flow_t *f);
 
 void sync_receive(core_t *c, const peer_msg_t *m);
@@ -440,6 +441,7 @@
                     const uint8_t *data, size_t len);
 
 /* input.c */
+/* First call of each entry point: sets the time and detects pauses. */
 void core_enter(core_t *c, ms_t now);
 
 /* pins.c */
