--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -1,12 +1,12 @@
-/* Records of requests at their home. */
+/* Records of requests at their owner. */
 #include "core/state.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define BUFS_SHARE 8 /* records for each buffer */
-#define BUFS_KEPT 4  /* a quarter of the buffers is for new requests */
+#define RECORDS_PER_BUF 8   /* records per buffer */
+#define FREE_BUFS_DIVISOR 4 /* a quarter is reserved for new requests */
 
 int
 exchanges_new(core_t *c)
@@ -14,7 +14,7 @@
     uint32_t heads = pow2(c->p.max_exchanges);
 
     c->ex_mask = heads - 1;
-    c->n_bufs = c->p.max_exchanges / BUFS_SHARE + 1;
+    c->n_bufs = c->p.max_exchanges / RECORDS_PER_BUF + 1;
     c->ex_bufs = calloc(c->n_bufs, sizeof(*c->ex_bufs));
     c->ex_buf_free = calloc(c->n_bufs, sizeof(*c->ex_buf_free));
     c->exs = calloc(c->p.max_exchanges, sizeof(*c->exs));
@@ -49,7 +49,7 @@
 }
 
 bool
-ex_keep(core_t *c, ex_t *ex, const uint8_t *data, size_t len)
+ex_store(core_t *c, ex_t *ex, const uint8_t *data, size_t len)
 {
     if (len > EX_BUF || (ex->buf == 0 && c->n_buf_free == 0)) {
         return false;
@@ -63,7 +63,7 @@
 }
 
 void
-ex_drop_bytes(core_t *c, ex_t *ex)
+ex_free_buf(core_t *c, ex_t *ex)
 {
     if (ex->buf != 0) {
         c->ex_buf_free[c->n_buf_free++] = ex->buf;
@@ -74,7 +74,7 @@
 
 /* ---- Finding ---- */
 
-/* The records of one flow are a chain. */
+/* Finds the first record of the flow KEY in a hash chain, from index I on. */
 static ex_t *
 ex_first(core_t *c, uint32_t i, uint64_t key)
 {
@@ -142,27 +142,29 @@
     return state == EX_FENCING || state == EX_SENT;
 }
 
-/* An answered request keeps its bytes while buffers are plenty; without them
- * a copy is answered by the upstream's duplicate detection. */
+/* An answered request keeps its answer while there are enough free buffers.
+ * Without it, a duplicate is answered by the upstream's duplicate
+ * detection. */
 void
-ex_state(core_t *c, ex_t *ex, ex_state_t state)
+ex_set_state(core_t *c, ex_t *ex, ex_state_t state)
 {
     bool stays = is_active(ex->state) && is_active(state);
 
     ex->state = state;
     if (stays) {
-        return; /* moved to the end, request_tick() would come to it again */
+        return; /* moved to the end, request_tick() would visit it again */
     }
-    list_remove(&ex->in);
-    list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->in);
-    if (!is_active(state) && c->n_buf_free < c->n_bufs / BUFS_KEPT) {
-        ex_drop_bytes(c, ex);
+    list_remove(&ex->link);
+    list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->link);
+    if (!is_active(state) && c->n_buf_free < c->n_bufs / FREE_BUFS_DIVISOR) {
+        ex_free_buf(c, ex);
     }
 }
 
-/* From the free list, then from the part of the table never used.  0: none. */
+/* Allocates from the free list, then from the part of the table that was
+ * never used.  Returns 0 when the table is full. */
 static uint32_t
-take_ex(core_t *c)
+alloc_ex(core_t *c)
 {
     uint32_t i = c->ex_free;
 
@@ -173,12 +175,12 @@
     return c->ex_top < c->p.max_exchanges ? ++c->ex_top : 0;
 }
 
-/* A new record for the request D.  NULL when the table or the buffers are
- * full. */
+/* Adds a record for the request D.  Returns NULL when the table or the
+ * buffers are full. */
 ex_t *
 ex_add(core_t *c, const dgram_t *d)
 {
-    uint32_t i = take_ex(c);
+    uint32_t i = alloc_ex(c);
     uint32_t *head = &c->ex_heads[d->key & c->ex_mask];
     ex_t *ex;
 
@@ -186,14 +188,14 @@
         return NULL;
     }
     ex = &c->exs[i - 1];
-    *ex = (ex_t){.life = (uint8_t)(ex->life + 1),
+    *ex = (ex_t){.generation = (uint8_t)(ex->generation + 1),
                  .key = d->key,
                  .next = *head,
                  .service = d->service,
                  .up = UP_NONE,
                  .sent = c->now};
-    list_init(&ex->in);
-    list_append(&c->ex_active, &ex->in);
+    list_init(&ex->link);
+    list_append(&c->ex_active, &ex->link);
     *head = i;
     c->ex_used++;
     ex->cls = class_of(d->m);
@@ -203,7 +205,7 @@
     ex->client = d->h->client;
     ex->token_len = d->m->token_len;
     memcpy(ex->token, d->m->token, sizeof(ex->token));
-    if (!ex_keep(c, ex, d->data, d->len)) {
+    if (!ex_store(c, ex, d->data, d->len)) {
         ex_remove(c, ex);
         return NULL;
     }
@@ -221,8 +223,8 @@
         link = &c->exs[*link - 1].next;
     }
     *link = ex->next;
-    list_remove(&ex->in);
-    ex_drop_bytes(c, ex);
+    list_remove(&ex->link);
+    ex_free_buf(c, ex);
     ex->state = EX_FREE;
     ex->next = c->ex_free;
     c->ex_free = i;
@@ -251,29 +253,29 @@
         return;
     }
     c->ups[ex->up].in_flight--;
-    c->ups[ex->up].finished++;
+    c->ups[ex->up].finished_since_change++;
     *share -= 1;
 }
 
 /* ---- Time ---- */
 
-/* A record is kept as long as its message ID may not be used again; when the
- * table fills, as long as copies of the request may come, which is what at
- * most once needs. */
+/* A record is kept until its message ID may be reused.  When the table
+ * fills up, it is kept only as long as copies of the request may arrive,
+ * the minimum for at-most-once execution. */
 static ms_t
-keep_ms(const core_t *c)
+retention_ms(const core_t *c)
 {
     return c->ex_used > c->p.max_exchanges / 4 * 3 ? DOUBT_MS : EXCHANGE_MS;
 }
 
-/* The kept records are in the order in which they were kept, so those that
- * have expired come first. */
+/* ex_kept is in the order in which the records were put there, so expired
+ * ones come first. */
 void
 ex_expire(core_t *c)
 {
     while (!list_empty(&c->ex_kept)) {
-        ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, in);
-        if (c->now - ex->sent < keep_ms(c)) {
+        ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, link);
+        if (c->now - ex->sent < retention_ms(c)) {
             break;
         }
         ex_remove(c, ex);
--- a/core/flows.c
+++ b/core/flows.c
@@ -1,4 +1,4 @@
-/* Flows pinned at their home, feeds to be told of a loss, and hints. */
+/* Flows pinned at their owner, their feeds, and forwarding hints. */
 #include "core/state.h"
 
 #include <errno.h>
@@ -7,8 +7,8 @@
 
 #define TENTH_MS 100
 #define HINT_WAYS 4
-#define SWEEP_TICKS 32 /* ticks in which the whole table is looked at */
-#define FEED_PINGS 3   /* unanswered, until a silent feed is given up */
+#define SWEEP_TICKS 32 /* a full sweep of the table takes so many ticks */
+#define FEED_PINGS 3   /* unanswered, before a silent feed is given up */
 #define FEED_PING_MS 1000
 
 int
@@ -58,41 +58,41 @@
 {
     f->last = (uint32_t)((c->now - c->start) / TENTH_MS);
     if (f->feed != 0) {
-        c->feeds[f->feed - 1].heard = c->now;
+        c->feeds[f->feed - 1].last_seen = c->now;
         c->feeds[f->feed - 1].pings = 0;
     }
 }
 
 uint64_t
-flow_home_key(core_t *c, const flow_t *f)
+pin_owner_key(core_t *c, const flow_t *f)
 {
     return f->flags & FLOW_UPLOAD
-               ? work_key(&c->services[f->service], f->key)
-               : flow_group(&c->services[f->service], f->key);
+               ? request_owner_key(&c->services[f->service], f->key)
+               : flow_owner_key(&c->services[f->service], f->key);
 }
 
 static void
-count_pin(core_t *c, const flow_t *f, int by)
+count_pin(core_t *c, const flow_t *f, int delta)
 {
     up_t *u = &c->ups[f->up];
 
-    if (f->flags & FLOW_HELD) {
+    if (f->flags & FLOW_REPLICA) {
         return;
     }
     if (!(f->flags & FLOW_UPLOAD)) {
-        u->flows += (uint32_t)by;
+        u->flows += (uint32_t)delta;
     }
     else if (!(f->flags & FLOW_ENDED)) {
-        u->uploads += (uint32_t)by;
+        u->uploads += (uint32_t)delta;
     }
 }
 
-/* An upload takes a slot until its last block is answered, or one is refused;
- * the pin stays, for copies of that block. */
+/* An upload occupies a slot until its last block is answered or a block is
+ * refused.  The pin stays, for duplicates of that block. */
 void
 upload_answered(core_t *c, flow_t *f, const coap_msg_t *m)
 {
-    bool last = (f->flags & FLOW_LAST) || m->code >> 5 > 2;
+    bool last = (f->flags & FLOW_LAST_BLOCK) || m->code >> 5 > 2;
 
     if (!(f->flags & FLOW_UPLOAD) || (f->flags & FLOW_ENDED) || !last) {
         return;
@@ -101,10 +101,11 @@
     f->flags |= FLOW_ENDED;
 }
 
-/* Entries are taken from the free list, then from the part of the table that
- * was never used, whose pages cost no memory until then.  0: none left. */
+/* Allocates from the free list, then from the part of the table that was
+ * never used, whose pages take no memory until then.  Returns 0 when the
+ * table is full. */
 static uint32_t
-take_flow(core_t *c)
+alloc_flow(core_t *c)
 {
     uint32_t i = c->flow_free;
 
@@ -116,7 +117,7 @@
 }
 
 static uint32_t
-take_feed(core_t *c)
+alloc_feed(core_t *c)
 {
     uint32_t i = c->feed_free;
 
@@ -127,13 +128,13 @@
     return c->feed_top < c->p.max_flows ? ++c->feed_top : 0;
 }
 
-/* NULL when the table is full: the flow then has no memory and follows the
- * table's first choice, and the established ones keep theirs. */
+/* Returns NULL when the table is full: the flow then has no pin and follows
+ * the first candidate of the table; established flows keep their pins. */
 flow_t *
 flow_add(core_t *c, uint64_t key, service_ix_t service, up_ix_t up,
          uint8_t flags)
 {
-    uint32_t i = take_flow(c);
+    uint32_t i = alloc_flow(c);
     uint32_t *head = &c->flow_heads[key & c->flow_mask];
     flow_t *f;
 
@@ -145,7 +146,7 @@
     *f = (flow_t){.key = key,
                   .next = *head,
                   .up = up,
-                  .up2 = UP_NONE,
+                  .older_up = UP_NONE,
                   .service = service,
                   .flags = (uint8_t)(FLOW_USED | flags)};
     *head = i;
@@ -156,27 +157,27 @@
 }
 
 static void
-own(core_t *c, flow_t *f)
+claim(core_t *c, flow_t *f)
 {
-    if (f->flags & FLOW_HELD) {
-        f->flags &= (uint8_t)~FLOW_HELD;
+    if (f->flags & FLOW_REPLICA) {
+        f->flags &= (uint8_t)~FLOW_REPLICA;
         count_pin(c, f, 1);
     }
 }
 
 flow_t *
-flow_own(core_t *c, uint64_t key)
+flow_claim(core_t *c, uint64_t key)
 {
     flow_t *f = flow_find(c, key);
 
     if (f != NULL) {
-        own(c, f);
+        claim(c, f);
     }
     return f;
 }
 
 static void
-drop_feed(core_t *c, flow_t *f)
+free_feed(core_t *c, flow_t *f)
 {
     if (f->feed == 0) {
         return;
@@ -194,7 +195,7 @@
     uint32_t *link = &c->flow_heads[f->key & c->flow_mask];
 
     count_pin(c, f, -1);
-    drop_feed(c, f);
+    free_feed(c, f);
     while (*link != i) {
         link = &c->flows[*link - 1].next;
     }
@@ -211,7 +212,7 @@
         return;
     }
     count_pin(c, f, -1);
-    f->up2 = f->flags & FLOW_FEED ? f->up : UP_NONE;
+    f->older_up = f->flags & FLOW_FEED ? f->up : UP_NONE;
     f->up = up;
     f->flags &= (uint8_t)~FLOW_SYNCED;
     count_pin(c, f, 1);
@@ -223,25 +224,26 @@
     feed_t *feed;
 
     if (f->feed == 0) {
-        f->feed = take_feed(c);
+        f->feed = alloc_feed(c);
         if (f->feed == 0) {
             return;
         }
     }
     feed = &c->feeds[f->feed - 1];
-    *feed = (feed_t){
-        .client = d->h->client, .token_len = d->m->token_len, .heard = c->now};
+    *feed = (feed_t){.client = d->h->client,
+                     .token_len = d->m->token_len,
+                     .last_seen = c->now};
     memcpy(feed->token, d->m->token, sizeof(feed->token));
     f->flags |= FLOW_FEED;
 }
 
 /* ---- Silent and lost feeds ---- */
 
-/* Tells the caller that its feed has ended, as RFC 7641 4.2 does: a
- * notification with an error code.  The caller registers anew at once,
- * instead of watching a picture that stands still. */
+/* Notifies the caller that its feed has ended, by a notification with an
+ * error code (RFC 7641 4.2).  The caller then re-registers at once, instead
+ * of waiting for notifications that never come. */
 static void
-tell_lost(core_t *c, flow_t *f)
+notify_feed_lost(core_t *c, flow_t *f)
 {
     const feed_t *feed = &c->feeds[f->feed - 1];
     service_t *s = &c->services[f->service];
@@ -265,13 +267,13 @@
 static void
 end_flow(core_t *c, flow_t *f)
 {
-    if (f->feed != 0 && !(f->flags & FLOW_HELD)) {
-        tell_lost(c, f);
+    if (f->feed != 0 && !(f->flags & FLOW_REPLICA)) {
+        notify_feed_lost(c, f);
     }
     flow_remove(c, f);
 }
 
-/* Ends the flows at UP that have none of the flags of KEPT. */
+/* Ends the flows at UP that have none of the flags KEPT. */
 static void
 end_flows_of(core_t *c, up_ix_t up, unsigned kept)
 {
@@ -286,12 +288,13 @@
 void
 feeds_lost(core_t *c, up_ix_t up)
 {
-    end_flows_of(c, up, FLOW_HELD);
+    end_flows_of(c, up, FLOW_REPLICA);
 }
 
-/* Asks the upstream, as the client, for a sign of life (a CoAP ping, RFC 7252
- * 4.3).  Only that flow is given up when none comes.  An upstream that isn't
- * trusted gets none: its address may have another service by now. */
+/* Sends the upstream a CoAP ping (RFC 7252 4.3) from the client's address.
+ * Without an answer only this flow is given up.  No ping is sent to an
+ * upstream without a valid lease: its address may belong to another service
+ * by now. */
 static void
 check_feed(core_t *c, flow_t *f)
 {
@@ -301,8 +304,8 @@
     uint8_t buf[16];
     int n;
 
-    if (silent == 0 || !up_trusted(c, f->up) ||
-        c->now - feed->heard < silent + feed->pings * FEED_PING_MS) {
+    if (silent == 0 || !up_lease_valid(c, f->up) ||
+        c->now - feed->last_seen < silent + feed->pings * FEED_PING_MS) {
         return;
     }
     if (feed->pings >= FEED_PINGS) {
@@ -328,11 +331,11 @@
         flow_remove(c, f);
         return;
     }
-    if (home_of(c, flow_home_key(c, f)) == c->p.self) {
-        own(c, f); /* so that this home's backup gets it in turn */
+    if (owner_of(c, pin_owner_key(c, f)) == c->p.self) {
+        claim(c, f); /* then this owner's backup gets a replica */
     }
     sync_flow(c, f);
-    if (f->flags & FLOW_HELD) {
+    if (f->flags & FLOW_REPLICA) {
         return;
     }
     if (f->feed != 0) {
@@ -340,7 +343,7 @@
     }
 }
 
-/* Looks at a part of the table in each tick. */
+/* Checks a part of the table in each tick. */
 void
 flow_sweep(core_t *c)
 {
@@ -397,10 +400,11 @@
     for (up_ix_t u = 0; u < c->n_ups; u++) {
         const up_t *up = &c->ups[u];
 
-        if (up->flows > 0 && up_lost(c, u) && !up_trusted(c, u)) {
-            /* The pin of an upload outlives its upstream's silence: it is all
-             * that tells that a block is there, and "not run" is false. */
-            end_flows_of(c, u, FLOW_HELD | FLOW_UPLOAD);
+        if (up->flows > 0 && up_lost(c, u) && !up_lease_valid(c, u)) {
+            /* The pin of an upload stays while its upstream is silent: it
+             * is the only record that a block may be there, so that "not
+             * run" would be false. */
+            end_flows_of(c, u, FLOW_REPLICA | FLOW_UPLOAD);
         }
     }
 }
--- a/core/input.c
+++ b/core/input.c
@@ -1,41 +1,43 @@
-/* What comes in, and where it is decided on: here, at the flow's home, or
- * nowhere. */
+/* Input: decides whether a datagram is handled here or forwarded to its
+ * owner. */
 #include "core/state.h"
 
-/* No call for so long is a pause; calls come each 20 to 50 ms, and others take
- * an instance for dead after 600 ms. */
+/* A longer gap between calls counts as a pause.  Calls come every 20 to 50
+ * ms, and the other members declare an instance dead after 600 ms. */
 #define PAUSE_MS 400
 
 /* ---- Datagrams from callers ---- */
 
-/* Sends D on to its home, or returns false when this is the place to decide.
- * KEY is the flow's or, for requests, the service's.  PINNED: the home before
- * this may have a pin for it. */
+/* Forwards D to its owner, or returns false when D is to be handled here.
+ * KEY is the owner key of the flow or, for requests, of the service.
+ * KNOWN: a record here already decides.  PINNED: the previous owner may
+ * have a pin for it. */
 static bool
-to_home(core_t *c, const dgram_t *d, uint64_t key, bool known, bool pinned)
+forward_to_owner(core_t *c, const dgram_t *d, uint64_t key, bool known,
+                 bool pinned)
 {
-    uint64_t home = home_of(c, key);
-    uint64_t earlier;
+    uint64_t owner = owner_of(c, key);
+    uint64_t previous;
 
     if (known) {
         return false;
     }
-    if (home == 0) {
-        /* It has just started and knows no home, nor what was done before:
-         * the caller's next copy finds an instance that does. */
+    if (owner == 0) {
+        /* No owner is known: this instance has just started and has no records
+         * either.  The caller's next copy reaches an instance that has. */
         c->services[d->service].stats.untrusted++;
         return true;
     }
-    if (home == c->p.self && d->hops >= STEER_HOPS) {
-        return false; /* views differ; some home has to decide */
+    if (owner == c->p.self && d->hops >= STEER_HOPS) {
+        return false; /* views differ; some instance has to decide */
     }
-    if (home != c->p.self) {
-        send_steer(c, d, home);
+    if (owner != c->p.self) {
+        send_to_owner(c, d, owner);
         return true;
     }
-    earlier = pinned ? earlier_home(c, key) : 0;
-    if (earlier != 0 && earlier != c->p.self && earlier != d->from) {
-        send_steer(c, d, earlier);
+    previous = pinned ? previous_owner(c, key) : 0;
+    if (previous != 0 && previous != c->p.self && previous != d->from) {
+        send_to_owner(c, d, previous);
         return true;
     }
     return false;
@@ -51,7 +53,8 @@
         return false;
     }
     u = up_find_id(c, h->upstream);
-    if (u == UP_NONE || c->ups[u].service != d->service || !up_trusted(c, u)) {
+    if (u == UP_NONE || c->ups[u].service != d->service ||
+        !up_lease_valid(c, u)) {
         return false;
     }
     c->services[d->service].stats.hinted++;
@@ -59,54 +62,57 @@
     return true;
 }
 
-/* Is F decided on here, even if its home has moved on?  A pin held for another
- * home counts when that home asks, since it doesn't have it. */
+/* True when F is handled here, even if its owner has changed.  A replica
+ * held for another owner counts when that owner forwards the datagram,
+ * since the owner then has no pin. */
 static bool
-flow_mine(core_t *c, const dgram_t *d, const flow_t *f)
+flow_is_local(core_t *c, const dgram_t *d, const flow_t *f)
 {
-    bool asked;
+    bool from_owner;
 
     if (f == NULL || up_lost(c, f->up)) {
         return false;
     }
-    asked = d->from != 0 && d->from == home_of(c, flow_home_key(c, f));
-    return asked || !(f->flags & FLOW_HELD);
+    from_owner = d->from != 0 && d->from == owner_of(c, pin_owner_key(c, f));
+    return from_owner || !(f->flags & FLOW_REPLICA);
 }
 
 static void
 opaque_in(core_t *c, const dgram_t *d)
 {
     flow_t *f = flow_find(c, d->key);
-    bool mine = flow_mine(c, d, f);
+    bool local = flow_is_local(c, d, f);
 
-    if (!mine && home_of(c, d->home) != c->p.self && use_hint(c, d)) {
+    if (!local && owner_of(c, d->owner_key) != c->p.self && use_hint(c, d)) {
         return;
     }
-    if (!to_home(c, d, d->home, mine, true)) {
-        opaque_at_home(c, d);
+    if (!forward_to_owner(c, d, d->owner_key, local, true)) {
+        opaque_at_owner(c, d);
     }
 }
 
-/* An ACK or RST: for a feed the flow's home knows the upstream, for the late
- * answer to a request the service's home does. */
+/* An ACK or RST.  The upstream is known to the owner of the flow for a
+ * feed, and to the owner of the requests for a separate response to a
+ * request. */
 static void
-empty_in(core_t *c, const dgram_t *d, bool mine)
+empty_in(core_t *c, const dgram_t *d, bool local)
 {
-    uint64_t work;
+    uint64_t request_owner;
     bool answer = ex_find_answer(c, d->key, d->m->mid) != NULL;
 
-    if (!mine && !answer && use_hint(c, d)) {
+    if (!local && !answer && use_hint(c, d)) {
         return;
     }
-    if (to_home(c, d, d->home, mine || answer, true)) {
+    if (forward_to_owner(c, d, d->owner_key, local || answer, true)) {
         return;
     }
-    work = home_of(c, work_key(&c->services[d->service], d->key));
-    if (!mine && !answer && work != 0 && work != c->p.self &&
-        work != d->from) {
-        send_steer(c, d, work);
+    request_owner =
+        owner_of(c, request_owner_key(&c->services[d->service], d->key));
+    if (!local && !answer && request_owner != 0 &&
+        request_owner != c->p.self && request_owner != d->from) {
+        send_to_owner(c, d, request_owner);
     }
-    empty_at_home(c, d);
+    empty_at_owner(c, d);
 }
 
 static void
@@ -114,49 +120,51 @@
 {
     service_t *s = &c->services[d->service];
     flow_t *f = flow_find(c, d->key);
-    bool mine = flow_mine(c, d, f);
+    bool local = flow_is_local(c, d, f);
     bool known;
 
     if (d->m->code == COAP_EMPTY) {
-        empty_in(c, d, mine && !(f->flags & FLOW_UPLOAD));
+        empty_in(c, d, local && !(f->flags & FLOW_UPLOAD));
         return;
     }
     if (!coap_is_request(d->m)) {
-        s->stats.malformed++; /* upstreams ask callers nothing */
+        s->stats.malformed++; /* upstreams send callers no requests */
         return;
     }
     if (class_of(d->m) == CLASS_FEED) {
-        if (!to_home(c, d, d->home, mine && !(f->flags & FLOW_UPLOAD), true)) {
-            feed_at_home(c, d);
+        if (!forward_to_owner(c, d, d->owner_key,
+                              local && !(f->flags & FLOW_UPLOAD), true)) {
+            feed_at_owner(c, d);
         }
         return;
     }
     known = ex_find(c, d->key, d->m->mid) != NULL ||
-            (mine && (f->flags & FLOW_UPLOAD));
-    if (!to_home(c, d, work_key(s, d->key), known, is_upload_block(d->m))) {
-        request_at_home(c, d);
+            (local && (f->flags & FLOW_UPLOAD));
+    if (!forward_to_owner(c, d, request_owner_key(s, d->key), known,
+                          is_upload_block(d->m))) {
+        request_at_owner(c, d);
     }
 }
 
-/* After a pause nothing learned before it may be trusted: upstreams may have
- * changed their service, and others have taken this instance for dead. */
+/* After a pause nothing learned before is valid: upstreams may have changed
+ * their service, and other members may have declared this instance dead. */
 static void
-wake(core_t *c)
+resume_after_pause(core_t *c)
 {
     for (uint32_t i = 0; i < c->n_ups; i++) {
-        c->ups[i].trust_until = c->now;
+        c->ups[i].lease_until = c->now;
         c->ups[i].probe_next = c->now;
-        c->ups[i].misses = 0; /* nobody asked it meanwhile */
+        c->ups[i].probe_misses = 0; /* no probes were sent meanwhile */
     }
-    c->doubt_at = c->now;
+    c->uncertain_at = c->now;
 }
 
-/* Called first by each entry.  A gap in the calls is a pause of this process.
- * Others may have taken it for dead meanwhile, and acted in its place, before
- * it hears of that: the doubt must start before the first datagram is decided
- * on, not at the next tick. */
+/* Called first by every entry point.  A gap between calls is a pause of
+ * this process: other members may have declared this instance dead and
+ * acted in its place, before this instance learns of that.  The uncertainty
+ * must start before the first datagram is handled, not at the next tick. */
 void
-enter(core_t *c, ms_t now)
+core_enter(core_t *c, ms_t now)
 {
     ms_t gap = c->last_call < 0 ? 0 : now - c->last_call;
 
@@ -166,10 +174,10 @@
         c->start = now;
     }
     if (gap > PAUSE_MS) {
-        c->doubt_at = now;
+        c->uncertain_at = now;
     }
     if (gap > TRUST_MS) {
-        wake(c);
+        resume_after_pause(c);
     }
 }
 
@@ -191,7 +199,7 @@
     }
     c->services[service].stats.datagrams_in++;
     d.key = flow_key(&h->service, &h->client);
-    d.home = flow_group(&c->services[service], d.key);
+    d.owner_key = flow_owner_key(&c->services[service], d.key);
     if (c->services[service].conf.proto == PROTO_UDP) {
         opaque_in(c, &d);
         return;
@@ -210,12 +218,12 @@
 {
     spp_t h = {.client = *client, .service = *service};
 
-    enter(c, now);
+    core_enter(c, now);
     datagram_in(c, &h, 0, 0, data, len);
 }
 
 static void
-count_steer(core_t *c, const spp_t *h)
+count_forwarded_in(core_t *c, const spp_t *h)
 {
     service_ix_t i = service_find(c, &h->service);
 
@@ -225,12 +233,12 @@
 }
 
 static void
-want_upstream(core_t *c, uint64_t id, ms_t lease)
+mark_hinted(core_t *c, uint64_t id, ms_t lease)
 {
     up_ix_t u = up_find_id(c, id);
 
     if (u != UP_NONE) {
-        c->ups[u].wanted_until = c->now + lease;
+        c->ups[u].hinted_until = c->now + lease;
     }
 }
 
@@ -239,16 +247,16 @@
 {
     spp_t h;
 
-    enter(c, now);
+    core_enter(c, now);
     switch (m->kind) {
     case PEER_STEER:
         h = (spp_t){.client = m->steer.client, .service = m->steer.service};
-        count_steer(c, &h);
+        count_forwarded_in(c, &h);
         datagram_in(c, &h, m->from, m->steer.hops, m->steer.data,
                     m->steer.len);
         return;
     case PEER_HINT:
-        want_upstream(c, m->hint.upstream, (ms_t)m->hint.lease_ms);
+        mark_hinted(c, m->hint.upstream, (ms_t)m->hint.lease_ms);
         hint_put(c, m->hint.flow, m->hint.upstream, (ms_t)m->hint.lease_ms);
         return;
     case PEER_SYNC:
@@ -264,8 +272,8 @@
 
 /* ---- Datagrams from upstreams ---- */
 
-/* The answer belongs to EX if it has its token, and comes from the upstream
- * and epoch that got the request. */
+/* Finds the exchange that M answers: its token matches, and the answer
+ * comes from the upstream and epoch to which the request was sent. */
 static ex_t *
 answered_exchange(core_t *c, uint64_t key, up_ix_t u, const coap_msg_t *m)
 {
@@ -312,18 +320,19 @@
         return;
     }
     if (ex_find_token(c, key, &m) != NULL) {
-        s->stats.late_answers++; /* of an earlier life, or after a bar */
+        s->stats
+            .late_answers++; /* of an earlier epoch, or after a cancellation */
         return;
     }
     send_client(c, service, &h->client, data, len);
 }
 
-/* To a message of this instance itself. */
+/* Handles a reply to a probe or a cancellation of this instance. */
 static void
-own_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
+handle_own_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
 {
     if (m->token_len == CANCEL_TOKEN_LEN && m->token[0] == CANCEL_TAG) {
-        request_cancelled(c, u, m);
+        request_cancel_reply(c, u, m);
     }
     else if (up_from_probe(c, u, m)) {
         feeds_lost(c, u);
@@ -338,7 +347,7 @@
     spp_t h;
     coap_msg_t m;
 
-    enter(c, now);
+    core_enter(c, now);
     if (u == UP_NONE || spp_read(&h, data, len) < 0) {
         if (c->n_services > 0) {
             c->services[0].stats.malformed++;
@@ -353,7 +362,7 @@
     len -= SPP_LEN;
     if (addr_eq(&h.client, &c->p.own_addr)) {
         if (coap_decode(&m, data, len) == 0) {
-            own_reply(c, u, &m);
+            handle_own_reply(c, u, &m);
         }
         return;
     }
--- a/core/request.c
+++ b/core/request.c
@@ -1,12 +1,12 @@
-/* What a home does with a request.
+/* Requests at their owner.
  *
- * The hazard is a second run: copy 1 of a non-idempotent request went to one
- * upstream and ran, copy 2 goes to another.  A home that is sure to be the
- * only one knows from its records where each went.  Any other can't know, but
- * where a copy can be, it can: at one of the choices that the tables give,
- * present and earlier.  It has the request barred at all of them but its
- * target before it forwards; whoever bars first at an upstream owns the
- * request there.
+ * The hazard is a duplicate execution: copy 1 of a non-idempotent request
+ * ran at one upstream, copy 2 goes to another.  An exclusive owner has
+ * records of where each copy went.  Other owners may lack such a record, but
+ * a copy can only be at one of the candidates, current or previous.  Such an
+ * owner has the request cancelled at all of them except the target before it
+ * forwards the request (fencing).  At each upstream, the first owner to
+ * cancel a request decides on it there.
  */
 #include "core/state.h"
 
@@ -14,14 +14,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TRIES_MAX 2    /* forwards after the first was shed */
-#define RETRY_FLOOR 10 /* retries allowed whatever the budget */
+#define RETRIES_MAX 2       /* at other upstreams, of one request */
+#define RETRY_BUDGET_MIN 10 /* retries allowed whatever the budget */
 #define PERCENT 100
-#define BLOCK_MORE 8        /* RFC 7959 2.2 */
-#define FIRST_PROBE_MS 1000 /* a new upstream is waited for so long */
-#define FENCE_AGAIN_MS 60   /* until a cancellation is sent again */
-#define RETRY_MS 60         /* between cancellations of one request */
-#define RETRY_MAX 6         /* such before giving up */
+#define BLOCK_MORE 8             /* RFC 7959 2.2 */
+#define FIRST_PROBE_WAIT_MS 1000 /* limit, for the reply of a new upstream */
+#define FENCE_FIRST_RETRY_MS 60  /* until the second cancellation */
+#define FENCE_RETRY_MS 60        /* between later cancellations of a request */
+#define FENCE_RETRY_MAX 6        /* such intervals before giving up */
 
 static service_t *
 service_of(core_t *c, const ex_t *ex)
@@ -30,36 +30,39 @@
 }
 
 static bool
-sure_of(core_t *c, const ex_t *ex)
+exclusive_for(core_t *c, const ex_t *ex)
 {
     service_t *s = service_of(c, ex);
 
-    return home_sure(c, work_key(s, ex->key)) &&
+    return owner_exclusive(c, request_owner_key(s, ex->key)) &&
            c->now - s->groups_since >= DOUBT_MS &&
-           !choices_differ(c, s, ex->key);
+           !candidates_differ(c, s, ex->key);
 }
 
-/* ---- Fences ---- */
+/* ---- Fencing ---- */
 
-/* Can U be asked about a copy, and would it remember one?  Not when it has
- * restarted since it first got work, which takes it at least TRUST_MS. */
+/* True when U can be asked about a copy and would remember it.  False for
+ * an upstream that has restarted since it may first have got work.  A restart
+ * takes at least TRUST_MS, so an epoch that began sooner than that after the
+ * first listing is the first one. */
 static bool
-can_ask(const core_t *c, up_ix_t u)
+can_cancel_at(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
-    bool forgot = c->now - up->epoch_since < DOUBT_MS &&
-                  up->epoch_since - up->listed_since >= TRUST_MS;
+    bool lost_state = c->now - up->epoch_since < DOUBT_MS &&
+                      up->epoch_since - up->listed_since >= TRUST_MS;
 
-    return up_trusted(c, u) && !forgot;
+    return up_lease_valid(c, u) && !lost_state;
 }
 
-/* Is one of them new, and has it yet to answer its first probe? */
+/* True when one of the N upstreams AT is new and has not answered a probe
+ * yet. */
 static bool
-unproven(const core_t *c, const up_ix_t *at, int n)
+any_unverified(const core_t *c, const up_ix_t *at, int n)
 {
     for (int i = 0; i < n; i++) {
         const up_t *up = &c->ups[at[i]];
-        if (up->listed && !up->verified && !up->refused) {
+        if (up->listed && !up->verified && !up->wrong_service) {
             return true;
         }
     }
@@ -69,28 +72,29 @@
 static void forward(core_t *c, ex_t *ex);
 static void end_unknown(core_t *c, ex_t *ex);
 
-/* Has EX barred wherever a copy may be, but for its target.  When one of these
- * can't be asked, or the target has restarted and forgotten, nobody can say
- * what became of a copy. */
+/* Has EX cancelled at every upstream that may hold a copy, except its
+ * target.  The outcome is unknown when one of these can't be asked, or when
+ * the target has restarted and so lost its record of duplicates. */
 static void
 fence(core_t *c, ex_t *ex)
 {
     service_t *s = service_of(c, ex);
-    up_ix_t at[CHOICES_MAX];
-    int n = all_choices(c, s, ex->key, at);
+    up_ix_t at[CANDIDATES_MAX];
+    int n = all_candidates(c, s, ex->key, at);
 
     ex->n_fence = 0;
-    ex->waiting = unproven(c, at, n) && c->now - ex->sent < FIRST_PROBE_MS;
-    if (ex->waiting) {
-        ex_state(c, ex, EX_FENCING);
+    ex->awaiting_probe =
+        any_unverified(c, at, n) && c->now - ex->sent < FIRST_PROBE_WAIT_MS;
+    if (ex->awaiting_probe) {
+        ex_set_state(c, ex, EX_FENCING);
         return;
     }
     for (int i = 0; i < n; i++) {
-        if (!can_ask(c, at[i])) {
+        if (!can_cancel_at(c, at[i])) {
             end_unknown(c, ex);
             return;
         }
-        if (at[i] != ex->up || ex->refuse_after) {
+        if (at[i] != ex->up || ex->refuse_when_fenced) {
             ex->fence[ex->n_fence++] = at[i];
         }
     }
@@ -98,9 +102,9 @@
         forward(c, ex);
         return;
     }
-    ex_state(c, ex, EX_FENCING);
+    ex_set_state(c, ex, EX_FENCING);
     ex->sent = c->now;
-    ex->retry_at = c->now + FENCE_AGAIN_MS;
+    ex->retry_at = c->now + FENCE_FIRST_RETRY_MS;
     s->stats.fenced++;
     for (int i = 0; i < ex->n_fence; i++) {
         up_cancel(c, ex, ex->fence[i]);
@@ -113,27 +117,28 @@
 send_final(core_t *c, const ex_t *ex)
 {
     uint8_t buf[96];
-    int n = answer_build(c, buf, sizeof(buf), ex, ex->final, ex->come_back);
+    int n = answer_build(c, buf, sizeof(buf), ex, ex->final_code,
+                         ex->retry_after_s);
 
     if (n > 0) {
         send_client(c, ex->service, &ex->client, buf, (size_t)n);
     }
 }
 
-/* The final answer; a read's record isn't needed any more. */
+/* Sends the final answer.  The record of an idempotent request is removed. */
 static void
 answer_final(core_t *c, ex_t *ex, uint8_t code, uint32_t max_age)
 {
     ex_count(c, ex, false);
-    ex->final = code;
-    ex->come_back = max_age;
+    ex->final_code = code;
+    ex->retry_after_s = max_age;
     send_final(c, ex);
     if (ex->idempotent) {
         ex_remove(c, ex);
         return;
     }
-    ex_drop_bytes(c, ex);
-    ex_state(c, ex, EX_REFUSED);
+    ex_free_buf(c, ex);
+    ex_set_state(c, ex, EX_REFUSED);
 }
 
 static void
@@ -149,26 +154,27 @@
     service_t *s = service_of(c, ex);
 
     s->stats.refused[why]++;
-    answer_final(c, ex, COAP_UNAVAILABLE, come_back(c, s));
+    answer_final(c, ex, COAP_UNAVAILABLE, retry_after_s(c, s));
 }
 
-/* "Not run" must stay true.  A sure home refuses by its own word: its record
- * keeps later copies from running.  Another one has the request barred first
- * wherever a copy could be; if that can't be had, the outcome is unknown. */
+/* Refuses EX as "not run", which must stay true.  An exclusive owner
+ * refuses at once: its record keeps later copies from running.  An owner
+ * with uncertain ownership first has the request cancelled wherever a copy
+ * could be; when that fails, the outcome is unknown. */
 static void
 end_refused(core_t *c, ex_t *ex, refuse_t why)
 {
-    if (ex->idempotent || sure_of(c, ex)) {
+    if (ex->idempotent || exclusive_for(c, ex)) {
         refuse_now(c, ex, why);
         return;
     }
-    if (ex->refuse_after) {
+    if (ex->refuse_when_fenced) {
         end_unknown(c, ex);
         return;
     }
     ex_count(c, ex, false);
-    ex->refuse_after = true;
-    ex->why = why;
+    ex->refuse_when_fenced = true;
+    ex->refuse_reason = why;
     fence(c, ex);
 }
 
@@ -179,11 +185,11 @@
 {
     service_t *s = service_of(c, ex);
 
-    if (!up_trusted(c, ex->up)) {
+    if (!up_lease_valid(c, ex->up)) {
         end_refused(c, ex, REFUSE_NONE);
         return;
     }
-    ex_state(c, ex, EX_SENT);
+    ex_set_state(c, ex, EX_SENT);
     ex->epoch = c->ups[ex->up].epoch;
     ex->sent = c->now;
     s->forwarded++;
@@ -191,11 +197,11 @@
     send_upstream(c, ex->up, &ex->client, true, ex_bytes(c, ex), ex->len);
 }
 
-/* ---- Choice of the upstream ---- */
+/* ---- Upstream selection ---- */
 
 /* The least loaded of the N upstreams LIST with room for CLS; FIRST wins a
- * tie.  The home sees all requests of the service, so it need not draw lots.
- */
+ * tie.  The owner sees all requests of the service, so it needs no random
+ * choice. */
 static up_ix_t
 least_loaded(core_t *c, const up_ix_t *list, uint32_t n, up_ix_t first,
              class_t cls)
@@ -219,18 +225,18 @@
     return best;
 }
 
-/* A non-idempotent request goes to one of its choices and to no other: a home
- * without the record has only them to ask. */
+/* A non-idempotent request goes only to a candidate of its bucket: an owner
+ * without the record can ask no others. */
 static up_ix_t
 choose(core_t *c, const ex_t *ex)
 {
     service_t *s = service_of(c, ex);
-    const up_ix_t *choice = bucket_of(s, ex->key)->choice;
+    const up_ix_t *candidate = bucket_of(s, ex->key)->candidate;
 
     if (!ex->idempotent) {
-        return least_loaded(c, choice, CHOICES, choice[0], ex->cls);
+        return least_loaded(c, candidate, CANDIDATES, candidate[0], ex->cls);
     }
-    return least_loaded(c, s->ups, s->n_ups, choice[0], ex->cls);
+    return least_loaded(c, s->ups, s->n_ups, candidate[0], ex->cls);
 }
 
 static bool
@@ -251,7 +257,7 @@
     return false;
 }
 
-/* A request that has no record here. */
+/* Starts a request that has no record here. */
 static void
 open_request(core_t *c, const dgram_t *d, ex_t *ex)
 {
@@ -266,25 +272,25 @@
         end_refused(c, ex, any_eligible(c, s) ? REFUSE_FULL : REFUSE_NONE);
         return;
     }
-    if (ex->idempotent || sure_of(c, ex)) {
+    if (ex->idempotent || exclusive_for(c, ex)) {
         forward(c, ex);
         return;
     }
     fence(c, ex);
 }
 
-/* The request runs at U or has run there: a copy brings its answer. */
+/* The request runs or has run at U: sending a copy there brings the answer. */
 static void
-found_at(core_t *c, ex_t *ex, up_ix_t u)
+attach_to_copy(core_t *c, ex_t *ex, up_ix_t u)
 {
     ex->up = u;
-    ex->refuse_after = false;
+    ex->refuse_when_fenced = false;
     ex->found = true;
     forward(c, ex);
 }
 
 static bool
-barred_by_self(const core_t *c, const char *by)
+cancelled_by_self(const core_t *c, const char *by)
 {
     char self[17];
 
@@ -292,80 +298,81 @@
     return by == NULL || strcmp(by, self) == 0;
 }
 
-/* Upstream U told what became of the request of EX. */
+/* Handles U's reply to the cancellation of EX. */
 static void
-take_fenced(core_t *c, ex_t *ex, up_ix_t u, const char *state, const char *by,
-            uint32_t epoch)
+handle_cancel_state(core_t *c, ex_t *ex, up_ix_t u, const char *state,
+                    const char *by, uint32_t epoch)
 {
     for (int i = 0; i < ex->n_fence; i++) {
         if (ex->fence[i] == u) {
             ex->fence[i] = ex->fence[--ex->n_fence];
         }
     }
-    if (!can_ask(c, u) || c->ups[u].epoch != epoch) {
+    if (!can_cancel_at(c, u) || c->ups[u].epoch != epoch) {
         end_unknown(c, ex);
         return;
     }
     if (strcmp(state, "barred") != 0) {
-        found_at(c, ex, u);
+        attach_to_copy(c, ex, u);
         return;
     }
-    if (!barred_by_self(c, by)) {
-        /* Another home was first here and answers the caller. */
-        ex_state(c, ex, EX_BARRED);
+    if (!cancelled_by_self(c, by)) {
+        /* Another owner cancelled first and answers the caller. */
+        ex_set_state(c, ex, EX_CANCELLED);
         return;
     }
     if (ex->n_fence > 0) {
         return;
     }
-    if (ex->refuse_after) {
-        refuse_now(c, ex, ex->why);
+    if (ex->refuse_when_fenced) {
+        refuse_now(c, ex, ex->refuse_reason);
         return;
     }
     forward(c, ex);
 }
 
-/* ---- Copies of a known request ---- */
+/* ---- Duplicates of a recorded request ---- */
 
-/* A copy goes only where the first went, and only while that upstream still
- * remembers it. */
+/* Sends a duplicate to the upstream of the first copy, and only while that
+ * upstream still remembers the request. */
 static bool
-copy_to_upstream(core_t *c, const dgram_t *d, const ex_t *ex)
+forward_duplicate(core_t *c, const dgram_t *d, const ex_t *ex)
 {
-    if (!up_trusted(c, ex->up) || c->ups[ex->up].epoch != ex->epoch) {
+    if (!up_lease_valid(c, ex->up) || c->ups[ex->up].epoch != ex->epoch) {
         return false;
     }
     send_upstream(c, ex->up, &ex->client, true, d->data, d->len);
     return true;
 }
 
-/* The port or the ID was used again too early.  The upstream would take it for
- * a copy of the old request and send the old answer. */
+/* Refuses a request whose port or message ID was reused too early.  The
+ * upstream would treat it as a duplicate of the old request and send the
+ * old answer. */
 static void
-reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
+refuse_reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
 {
-    bool sure = ex->idempotent || sure_of(c, ex);
+    bool exclusive = ex->idempotent || exclusive_for(c, ex);
 
-    answer_now(c, d, sure ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-               sure ? come_back(c, service_of(c, ex)) : COAP_NONE,
-               sure ? REFUSE_MID_REUSE : REFUSE_UNKNOWN);
+    answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+               exclusive ? retry_after_s(c, service_of(c, ex)) : COAP_NONE,
+               exclusive ? REFUSE_MID_REUSE : REFUSE_UNKNOWN);
 }
 
 static void
-copy_of_known(core_t *c, const dgram_t *d, ex_t *ex)
+handle_duplicate(core_t *c, const dgram_t *d, ex_t *ex)
 {
     bool same = ex->token_len == d->m->token_len &&
                 memcmp(ex->token, d->m->token, ex->token_len) == 0;
 
     if (!same) {
-        reused_mid(c, d, ex);
+        refuse_reused_mid(c, d, ex);
         return;
     }
     service_of(c, ex)->stats.duplicates++;
     switch (ex->state) {
     case EX_REFUSED:
-        if (ex->final == COAP_UNAVAILABLE && !sure_of(c, ex)) {
-            /* Since it was refused here, another home may have run it. */
+        if (ex->final_code == COAP_UNAVAILABLE && !exclusive_for(c, ex)) {
+            /* Another owner may have run it since it was refused here. */
             end_unknown(c, ex);
             return;
         }
@@ -376,16 +383,17 @@
             send_client(c, ex->service, &ex->client, ex_bytes(c, ex), ex->len);
             return;
         }
-        if (!copy_to_upstream(c, d, ex)) {
+        if (!forward_duplicate(c, d, ex)) {
             /* It ran, but its answer is lost with the upstream. */
             answer_now(c, d, COAP_GW_TIMEOUT, COAP_NONE, REFUSE_UNKNOWN);
         }
         return;
     case EX_SENT:
-        copy_to_upstream(c, d, ex);
+        forward_duplicate(c, d, ex);
         return;
-    case EX_BARRED:
-        /* The other home had the time to answer, and the caller asks on. */
+    case EX_CANCELLED:
+        /* The other owner had time to answer, yet the caller still
+         * retransmits. */
         end_unknown(c, ex);
         return;
     case EX_FENCING:
@@ -396,9 +404,9 @@
 
 /* ---- Uploads ---- */
 
-/* Refuses an upload.  A first block that an upstream may have taken, from this
- * home or from one that died, must not be called "not run": the caller is told
- * to start again. */
+/* Refuses an upload.  A first block that an upstream may have accepted,
+ * from this owner or from one that failed, must not be reported as "not
+ * run": the caller is asked to start again. */
 static void
 upload_refuse(core_t *c, const dgram_t *d, refuse_t why, bool taken)
 {
@@ -406,47 +414,47 @@
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
-    answer_now(c, d, COAP_UNAVAILABLE, come_back(c, &c->services[d->service]),
-               why);
+    answer_now(c, d, COAP_UNAVAILABLE,
+               retry_after_s(c, &c->services[d->service]), why);
 }
 
-/* Opens an upload.  PASSED_ON: its first block was sent to an upstream before.
- * NULL: it was refused. */
+/* Opens an upload.  ALREADY_FORWARDED: its first block was sent to an
+ * upstream before.  Returns NULL when the upload was refused. */
 static flow_t *
-upload_open(core_t *c, const dgram_t *d, bool passed_on)
+upload_open(core_t *c, const dgram_t *d, bool already_forwarded)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t first = bucket_of(s, d->key)->choice[0];
+    up_ix_t first = bucket_of(s, d->key)->candidate[0];
     up_ix_t up = first;
-    bool sure = home_sure(c, work_key(s, d->key));
+    bool exclusive = owner_exclusive(c, request_owner_key(s, d->key));
     flow_t *f;
 
     s->stats.requests[CLASS_BULK]++;
-    if (sure) {
+    if (exclusive) {
         up = least_loaded(c, s->ups, s->n_ups, first, CLASS_BULK);
     }
     if (!up_eligible(c, up)) {
-        upload_refuse(c, d, REFUSE_FULL, !sure || passed_on);
+        upload_refuse(c, d, REFUSE_FULL, !exclusive || already_forwarded);
         return NULL;
     }
     f = flow_add(c, d->key, d->service, up, FLOW_UPLOAD);
     if (f == NULL) {
-        upload_refuse(c, d, REFUSE_TABLE, !sure || passed_on);
+        upload_refuse(c, d, REFUSE_TABLE, !exclusive || already_forwarded);
         return NULL;
     }
     sync_flow(c, f);
     return f;
 }
 
-/* A block of an upload goes where its first block went. */
+/* Sends a block of an upload to the upstream of its first block. */
 static void
 upload_block(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
-    up_ix_t first = bucket_of(s, d->key)->choice[0];
-    flow_t *f = flow_own(c, d->key);
+    up_ix_t first = bucket_of(s, d->key)->candidate[0];
+    flow_t *f = flow_claim(c, d->key);
     bool first_block = d->m->block1 >> 4 == 0;
-    bool passed_on = f != NULL && !(f->flags & FLOW_ENDED);
+    bool already_forwarded = f != NULL && !(f->flags & FLOW_ENDED);
 
     if (f != NULL && (up_lost(c, f->up) || !(f->flags & FLOW_UPLOAD) ||
                       (first_block && (f->flags & FLOW_ENDED)))) {
@@ -454,7 +462,7 @@
         f = NULL;
     }
     if (f == NULL && first_block) {
-        f = upload_open(c, d, passed_on);
+        f = upload_open(c, d, already_forwarded);
         if (f == NULL) {
             return;
         }
@@ -462,17 +470,18 @@
     if (f != NULL) {
         flow_touch(c, f);
         if (!(d->m->block1 & BLOCK_MORE)) {
-            f->flags |= FLOW_LAST;
+            f->flags |= FLOW_LAST_BLOCK;
         }
-        to_pin(c, d, f, true);
+        send_to_pin(c, d, f, true);
         return;
     }
-    if (home_sure(c, work_key(s, d->key)) || up_lost(c, first)) {
+    if (owner_exclusive(c, request_owner_key(s, d->key)) ||
+        up_lost(c, first)) {
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
-    /* A home that died may have had it at the first choice. */
-    if (up_trusted(c, first)) {
+    /* An owner that failed may have opened it at the first candidate. */
+    if (up_lease_valid(c, first)) {
         send_upstream(c, first, &d->h->client, true, d->data, d->len);
     }
 }
@@ -488,11 +497,11 @@
 /* ---- Entry ---- */
 
 void
-request_at_home(core_t *c, const dgram_t *d)
+request_at_owner(core_t *c, const dgram_t *d)
 {
     service_t *s = &c->services[d->service];
     ex_t *ex;
-    const ex_t *crossed;
+    const ex_t *same_token;
 
     if (is_upload_block(d->m)) {
         upload_block(c, d);
@@ -500,7 +509,7 @@
     }
     ex = ex_find(c, d->key, d->m->mid);
     if (ex != NULL) {
-        copy_of_known(c, d, ex);
+        handle_duplicate(c, d, ex);
         return;
     }
     s->stats.requests[class_of(d->m)]++;
@@ -508,20 +517,21 @@
         answer_now(c, d, COAP_TOO_LARGE, COAP_NONE, REFUSE_TOO_LARGE);
         return;
     }
-    crossed = ex_find_token(c, d->key, d->m);
+    same_token = ex_find_token(c, d->key, d->m);
     ex = ex_add(c, d);
     if (ex == NULL) {
-        bool sure =
-            home_sure(c, work_key(s, d->key)) || d->m->code == COAP_GET;
-        answer_now(c, d, sure ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-                   sure ? come_back(c, s) : COAP_NONE,
-                   sure ? REFUSE_TABLE : REFUSE_UNKNOWN);
-        return;
-    }
-    if (crossed != NULL && crossed->state != EX_REFUSED &&
-        crossed->state != EX_DONE) {
-        /* The token is that of a request still in progress, of the port's
-         * last user perhaps, whose answer would be taken for this one's. */
+        bool exclusive = owner_exclusive(c, request_owner_key(s, d->key)) ||
+                         d->m->code == COAP_GET;
+        answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+                   exclusive ? retry_after_s(c, s) : COAP_NONE,
+                   exclusive ? REFUSE_TABLE : REFUSE_UNKNOWN);
+        return;
+    }
+    if (same_token != NULL && same_token->state != EX_REFUSED &&
+        same_token->state != EX_DONE) {
+        /* The token belongs to a request still in progress, perhaps of the
+         * port's previous user, whose answer would be matched to this
+         * request. */
         end_refused(c, ex, REFUSE_MID_REUSE);
         return;
     }
@@ -534,11 +544,11 @@
 retry_allowed(const service_t *s)
 {
     return s->retried <
-           RETRY_FLOOR + s->forwarded * s->conf.retry_percent / PERCENT;
+           RETRY_BUDGET_MIN + s->forwarded * s->conf.retry_percent / PERCENT;
 }
 
-/* The upstream said "not run", or the request is idempotent: another may
- * have it, within the budget. */
+/* The upstream replied "not run", or the request is idempotent: tries
+ * another upstream within the retry budget. */
 static void
 retry(core_t *c, ex_t *ex)
 {
@@ -548,11 +558,11 @@
 
     ex_count(c, ex, false);
     if (ex->found) {
-        end_unknown(c, ex); /* it was found there, and now is not */
+        end_unknown(c, ex); /* found there before, but not run */
         return;
     }
-    if (ex->tries >= TRIES_MAX || !retry_allowed(s) ||
-        (!ex->idempotent && !sure_of(c, ex))) {
+    if (ex->tries >= RETRIES_MAX || !retry_allowed(s) ||
+        (!ex->idempotent && !exclusive_for(c, ex))) {
         end_refused(c, ex, REFUSE_FULL);
         return;
     }
@@ -571,7 +581,8 @@
     forward(c, ex);
 }
 
-/* The answer is final; a read's record has done its work. */
+/* Forwards the final answer.  The record of an idempotent request is
+ * removed. */
 static void
 answer_done(core_t *c, ex_t *ex, const coap_msg_t *m, const uint8_t *data,
             size_t len)
@@ -582,13 +593,13 @@
         ex_remove(c, ex);
         return;
     }
-    if (!ex_keep(c, ex, data, len)) {
-        ex_drop_bytes(c, ex);
+    if (!ex_store(c, ex, data, len)) {
+        ex_free_buf(c, ex);
     }
-    ex_state(c, ex, EX_DONE);
+    ex_set_state(c, ex, EX_DONE);
 }
 
-/* An answer to EX came from its upstream. */
+/* Handles an answer to EX from its upstream. */
 void
 request_answer(core_t *c, ex_t *ex, const coap_msg_t *m, const uint8_t *data,
                size_t len)
@@ -600,9 +611,9 @@
         return;
     }
     if (m->code == COAP_CONFLICT && !ex->idempotent) {
-        /* Another home barred it there and answers the caller. */
+        /* Another owner cancelled it there and answers the caller. */
         ex_count(c, ex, false);
-        ex_state(c, ex, EX_BARRED);
+        ex_set_state(c, ex, EX_CANCELLED);
         return;
     }
     if (m->code == COAP_UNAVAILABLE && ex->state == EX_SENT) {
@@ -618,10 +629,10 @@
     answer_done(c, ex, m, data, len);
 }
 
-/* ---- Answers of upstreams that bar a request ---- */
+/* ---- Replies to cancellations ---- */
 
 static void
-take_cancelled(core_t *c, up_ix_t u, const coap_msg_t *m, const json_t *j)
+parse_cancel_reply(core_t *c, up_ix_t u, const coap_msg_t *m, const json_t *j)
 {
     uint32_t index;
     uint16_t mid;
@@ -636,13 +647,14 @@
         return;
     }
     ex = &c->exs[index];
-    if (ex->state == EX_FENCING && ex->mid == mid && ex->life == m->token[7]) {
-        take_fenced(c, ex, u, state, by, epoch);
+    if (ex->state == EX_FENCING && ex->mid == mid &&
+        ex->generation == m->token[7]) {
+        handle_cancel_state(c, ex, u, state, by, epoch);
     }
 }
 
 void
-request_cancelled(core_t *c, up_ix_t u, const coap_msg_t *m)
+request_cancel_reply(core_t *c, up_ix_t u, const coap_msg_t *m)
 {
     json_t *j;
 
@@ -651,7 +663,7 @@
     }
     j = json_loadb((const char *)m->payload, m->payload_len, 0, NULL);
     if (j != NULL) {
-        take_cancelled(c, u, m, j);
+        parse_cancel_reply(c, u, m, j);
     }
     json_decref(j);
 }
@@ -659,20 +671,20 @@
 /* ---- Time ---- */
 
 static void
-ask_again(core_t *c, ex_t *ex)
+retry_fence(core_t *c, ex_t *ex)
 {
-    if (ex->waiting) {
+    if (ex->awaiting_probe) {
         fence(c, ex);
         return;
     }
     if (c->now < ex->retry_at) {
         return;
     }
-    if (c->now - ex->sent >= RETRY_MAX * RETRY_MS) {
+    if (c->now - ex->sent >= FENCE_RETRY_MAX * FENCE_RETRY_MS) {
         end_unknown(c, ex);
         return;
     }
-    ex->retry_at = c->now + RETRY_MS;
+    ex->retry_at = c->now + FENCE_RETRY_MS;
     for (int i = 0; i < ex->n_fence; i++) {
         up_cancel(c, ex, ex->fence[i]);
     }
@@ -684,7 +696,7 @@
     const up_t *u = &c->ups[ex->up];
     bool restarted = u->epoch != ex->epoch;
     bool late = c->now - ex->sent >= c->services[ex->service].conf.request_ms;
-    bool lost = !up_trusted(c, ex->up);
+    bool lost = !up_lease_valid(c, ex->up);
 
     if (!restarted && !late && !(lost && ex->idempotent)) {
         return;
@@ -693,7 +705,7 @@
         retry(c, ex);
         return;
     }
-    /* It may have run before the upstream stopped: nobody can say. */
+    /* It may have run before the upstream stopped: the outcome is unknown. */
     end_unknown(c, ex);
 }
 
@@ -704,13 +716,13 @@
         check_sent(c, ex);
         return;
     }
-    ask_again(c, ex);
+    retry_fence(c, ex);
 }
 
 void
 request_tick(core_t *c)
 {
     LIST_EACH (l, &c->ex_active) {
-        check_active(c, LIST_OWNER(l, ex_t, in));
+        check_active(c, LIST_OWNER(l, ex_t, link));
     }
 }
