--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -20,7 +20,7 @@
 } announce_t;
 
 static ms_t
-next_look(announce_t *a)
+next_check_ms(announce_t *a)
 {
     ms_t wait;
 
@@ -81,7 +81,7 @@
                  e.text);
         return RETRY_MS;
     }
-    return a->lease != 0 ? RENEW_MS : next_look(a);
+    return a->lease != 0 ? RENEW_MS : next_check_ms(a);
 }
 
 void
@@ -90,7 +90,7 @@
     announce_t a = {.t = tagged};
     ms_t wait;
 
-    wait = next_look(&a);
+    wait = next_check_ms(&a);
     while (!duty_stopping(self)) {
         duty_wait(self, NULL, 0, wait);
         if (!duty_stopping(self)) {
--- a/tagged/answers.c
+++ b/tagged/answers.c
@@ -20,18 +20,18 @@
 /* Lifetimes of a kept answer, which tells them as its age: of the whole, for
  * those who know nothing and will ask for what has changed since; of changes,
  * for those who waited for them. */
-#define WHOLE_MS 1000
-#define CHANGES_MS 100
+#define WHOLE_LIFETIME_MS 1000
+#define CHANGES_LIFETIME_MS 100
 
 typedef struct {
     struct MHD_Response *response; /* NULL: none */
-    question_t question[TOPICS];
+    answer_query_t question[TOPICS];
     ms_t made_at;
-} answer_t;
+} cached_answer_t;
 
 struct answers {
     pthread_mutex_t lock;
-    answer_t whole, changes; /* the last of each kind */
+    cached_answer_t whole, changes; /* the last of each kind */
 };
 
 answers_t *
@@ -65,7 +65,7 @@
 }
 
 static struct MHD_Response *
-make(char *text, bool packed)
+make_response(char *text, bool packed)
 {
     size_t len = strlen(text);
     void *out = packed ? pack(text, &len) : NULL;
@@ -85,22 +85,24 @@
 }
 
 bool
-answer_serves(const question_t *kept, ms_t age, const question_t *asked)
+answer_is_reusable(const answer_query_t *kept, ms_t age,
+                   const answer_query_t *asked)
 {
     if (kept->packed != asked->packed ||
         kept->differences != asked->differences ||
         kept->whole != asked->whole) {
         return false;
     }
-    return asked->whole ? age <= WHOLE_MS && kept->revision > asked->after
-                        : age <= CHANGES_MS && kept->after == asked->after &&
-                              kept->revision == asked->revision;
+    return asked->whole
+               ? age <= WHOLE_LIFETIME_MS && kept->revision > asked->after
+               : age <= CHANGES_LIFETIME_MS && kept->after == asked->after &&
+                     kept->revision == asked->revision;
 }
 
 /* What is asked of each topic, as text.  NULL without memory. */
 static char *
 write_topics(replica_t *const r[TOPICS], ms_t now, ms_t given_ms,
-             const question_t asked[TOPICS])
+             const answer_query_t asked[TOPICS])
 {
     char *text[TOPICS], *out = NULL;
     bool all = true;
@@ -120,42 +122,44 @@
 }
 
 static bool
-serves(const answer_t *kept, ms_t now, const question_t asked[TOPICS])
+is_reusable(const cached_answer_t *kept, ms_t now,
+            const answer_query_t asked[TOPICS])
 {
     bool all = kept->response != NULL;
 
     for (int i = 0; i < TOPICS && all; i++) {
-        all =
-            answer_serves(&kept->question[i], now - kept->made_at, &asked[i]);
+        all = answer_is_reusable(&kept->question[i], now - kept->made_at,
+                                 &asked[i]);
     }
     return all;
 }
 
 /* The answer to what was ASKED; under LOCK. */
 static struct MHD_Response *
-get(answers_t *a, replica_t *const r[TOPICS], ms_t now,
-    const question_t asked[TOPICS])
+cached_response(answers_t *a, replica_t *const r[TOPICS], ms_t now,
+                const answer_query_t asked[TOPICS])
 {
     bool whole = asked[TOPIC_UPSTREAMS].whole && asked[TOPIC_OPERATOR].whole;
-    answer_t *w = whole ? &a->whole : &a->changes;
+    cached_answer_t *w = whole ? &a->whole : &a->changes;
     char *text;
 
-    if (serves(w, now, asked)) {
+    if (is_reusable(w, now, asked)) {
         return w->response;
     }
     if (w->response != NULL) {
         MHD_destroy_response(w->response);
     }
-    text = write_topics(r, now, whole ? WHOLE_MS : CHANGES_MS, asked);
-    *w =
-        (answer_t){.response = text != NULL ? make(text, asked->packed) : NULL,
-                   .made_at = now};
+    text = write_topics(
+        r, now, whole ? WHOLE_LIFETIME_MS : CHANGES_LIFETIME_MS, asked);
+    *w = (cached_answer_t){
+        .response = text != NULL ? make_response(text, asked->packed) : NULL,
+        .made_at = now};
     memcpy(w->question, asked, sizeof(w->question));
     return w->response;
 }
 
 static bool
-takes_packed(struct MHD_Connection *c)
+accepts_zstd(struct MHD_Connection *c)
 {
     const char *accepts = MHD_lookup_connection_value(
         c, MHD_HEADER_KIND, MHD_HTTP_HEADER_ACCEPT_ENCODING);
@@ -168,19 +172,19 @@
               struct MHD_Connection *c, const uint64_t after[TOPICS],
               bool differences)
 {
-    question_t asked[TOPICS];
+    answer_query_t asked[TOPICS];
     struct MHD_Response *response;
     enum MHD_Result rc = MHD_NO;
 
     for (int i = 0; i < TOPICS; i++) {
-        asked[i] = (question_t){.packed = takes_packed(c),
-                                .differences = differences,
-                                .whole = replica_is_behind(r[i], after[i]),
-                                .after = after[i],
-                                .revision = replica_revision(r[i])};
+        asked[i] = (answer_query_t){.packed = accepts_zstd(c),
+                                    .differences = differences,
+                                    .whole = replica_is_behind(r[i], after[i]),
+                                    .after = after[i],
+                                    .revision = replica_revision(r[i])};
     }
     pthread_mutex_lock(&a->lock);
-    response = get(a, r, clock_now(), asked);
+    response = cached_response(a, r, clock_now(), asked);
     if (response != NULL) {
         rc = MHD_queue_response(c, MHD_HTTP_OK, response);
     }
--- a/tagged/check.c
+++ b/tagged/check.c
@@ -9,12 +9,12 @@
 
 /* Until something is known: an instance that starts while the store is away,
  * or among many, gets it from a peer.  A peer that is only starting itself
- * answers when it knows something, or after START_WAIT_MS. */
-#define START_MS 30
-#define START_WAIT_MS 300
+ * answers when it knows something, or after START_ANSWER_MS. */
+#define START_POLL_MS 30
+#define START_ANSWER_MS 300
 
 static const source_peer_t *
-pick(tagged_t *t, bool starting, addr_t *a)
+pick_peer(tagged_t *t, bool starting, addr_t *a)
 {
     const source_peer_t *p;
 
@@ -31,7 +31,7 @@
 /* When all start together, a peer that can't be reached may be up a moment
  * later: it is asked again. */
 static source_answer_t
-answer_of(int rc, bool starting)
+classify_answer(int rc, bool starting)
 {
     if (rc >= 0 || rc == -ENOBUFS) {
         return SOURCE_TOLD;
@@ -48,13 +48,13 @@
     addr_t a;
     int rc;
 
-    if (pick(t, !known, &a) == NULL) {
+    if (pick_peer(t, !known, &a) == NULL) {
         return;
     }
-    rc = news_ask(t, c, &a, !known ? START_WAIT_MS : 0, &e);
-    news_note(t, &a, answer_of(rc, !known));
+    rc = updates_poll(t, c, &a, !known ? START_ANSWER_MS : 0, &e);
+    updates_record_answer(t, &a, classify_answer(rc, !known));
     if (rc > 0) {
-        counter_add(&t->count.news_from_check, 1);
+        counter_add(&t->count.check_updates, 1);
         log_line(
             LVL_INFO, "check",
             "News from a peer. peer=%s items=%d upstreams=%llu "
@@ -73,7 +73,7 @@
     pthread_mutex_lock(&t->follow_lock);
     ms = sources_check_ms(&t->sources);
     pthread_mutex_unlock(&t->follow_lock);
-    return tagged_has_replicas(t) ? ms : START_MS;
+    return tagged_has_replicas(t) ? ms : START_POLL_MS;
 }
 
 void
--- a/tagged/daemon.c
+++ b/tagged/daemon.c
@@ -16,7 +16,7 @@
 #define QUIET_MS 1500
 /* It ends by itself so long before the platform would kill it. */
 #define STOP_MARGIN_MS 800
-#define LEAVE_CHECK_MS 100
+#define DRAIN_POLL_MS 100
 
 static const duty_spec_t duties[] = {
     {.name = "main", .inbox = 4},
@@ -69,7 +69,7 @@
 }
 
 static bool
-open_parts(tagged_t *t)
+open_resources(tagged_t *t)
 {
     bool opened;
 
@@ -88,7 +88,7 @@
 static int
 start(tagged_t *t, err_t *e)
 {
-    if (!open_parts(t)) {
+    if (!open_resources(t)) {
         return err_set(e, -ENOMEM, "start", t->settings.name, "out of memory");
     }
     t->flow_fd = udp_open(&t->settings.flow_addr, e);
@@ -109,28 +109,28 @@
 
 /* Forwards on until no packet comes, or just before it would be killed. */
 static void
-leave(tagged_t *t, duty_t *self)
+drain(tagged_t *t, duty_t *self)
 {
     ms_t begin = clock_now();
-    ms_t longest = (ms_t)t->settings.stop_ms - STOP_MARGIN_MS;
+    ms_t limit_ms = (ms_t)t->settings.stop_ms - STOP_MARGIN_MS;
     ms_t now = begin;
 
-    SHARE(t, leaving, true);
-    while (now - begin < longest) {
-        ms_t quiet = now - SHARED(t, packet_at);
+    ATOMIC_SET(t, draining, true);
+    while (now - begin < limit_ms) {
+        ms_t quiet = now - ATOMIC_GET(t, packet_at);
         if (quiet > QUIET_MS && now - begin > QUIET_MS) {
             break;
         }
-        duty_wait(self, NULL, 0, LEAVE_CHECK_MS);
+        duty_wait(self, NULL, 0, DRAIN_POLL_MS);
         now = clock_now();
     }
     log_line(LVL_INFO, "main", "Drained. ms=%lld last_packet_ms=%lld",
              (long long)(now - begin),
-             (long long)(now - SHARED(t, packet_at)));
+             (long long)(now - ATOMIC_GET(t, packet_at)));
 }
 
 static void
-wait_for_end(tagged_t *t, int signals)
+wait_for_signal(tagged_t *t, int signals)
 {
     duty_t *self = kern_find(t->kern, "main");
     struct pollfd fds[2] = {[1] = {.fd = signals, .events = POLLIN}};
@@ -146,11 +146,11 @@
         }
         log_line(LVL_INFO, "main", "Reloading settings. signal=%u",
                  info.ssi_signo);
-        SHARE(t, reload, true);
+        ATOMIC_SET(t, reload, true);
         duty_wake(kern_find(t->kern, "follow"));
     }
     log_line(LVL_INFO, "main", "Draining. signal=%u", info.ssi_signo);
-    leave(t, self);
+    drain(t, self);
 }
 
 int
@@ -186,7 +186,7 @@
     }
     log_line(LVL_INFO, "main", "Started. data_centre=%s store=%s records=%u",
              s->data_centre, s->store_url, s->records);
-    wait_for_end(&t, signals);
+    wait_for_signal(&t, signals);
     /* The duties are not joined: a call to the store may block for a second,
      * in which the routers may still send packets here and get no other
      * process in its place.  Packets are forwarded to the last moment. */
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -58,7 +58,7 @@
     }
     rc = store_list_peers(f->t->store[TOPIC_UPSTREAMS], LIST_MS, &items, e);
     if (rc == 0) {
-        news_take_peers(f->t, &items);
+        updates_apply_peers(f->t, &items);
     }
     store_items_free(&items);
     return rc;
@@ -68,8 +68,8 @@
 static void
 set_follows_store(follow_t *f, bool yes)
 {
-    if (yes != SHARED(f->t, follows_store)) {
-        SHARE(f->t, follows_store, yes);
+    if (yes != ATOMIC_GET(f->t, follows_store)) {
+        ATOMIC_SET(f->t, follows_store, yes);
         duty_wake(kern_find(f->t->kern, "operator"));
     }
 }
@@ -99,17 +99,17 @@
 
 /* The peer has no place: another is to be asked. */
 static ms_t
-redirected(follow_t *f, const addr_t *a, const addr_t *instead)
+redirected(follow_t *f, const addr_t *a, const addr_t *redirect)
 {
     char from[ADDR_STRLEN], to[ADDR_STRLEN];
     int rc;
 
     pthread_mutex_lock(&f->t->follow_lock);
-    rc = sources_redirected(&f->t->sources, instead);
+    rc = sources_redirected(&f->t->sources, redirect);
     pthread_mutex_unlock(&f->t->follow_lock);
     log_line(rc < 0 ? LVL_WARN : LVL_INFO, "follow", "%s peer=%s instead=%s",
              rc < 0 ? "Redirected too often, waiting." : "Redirected.",
-             addr_text(a, from), addr_text(instead, to));
+             addr_text(a, from), addr_text(redirect, to));
     return rc < 0 ? watch_back_off(&f->watch) : 0;
 }
 
@@ -121,20 +121,21 @@
     ms_t wait = watch_is_stale(&f->watch) ? 0 : PEER_WAIT_MS;
     char text[ADDR_STRLEN];
     err_t e = {0};
-    addr_t instead;
-    int rc = place ? news_follow(f->t, &f->peer, a, wait, &instead, &e)
-                   : news_ask(f->t, &f->peer, a, wait, &e);
+    addr_t redirect;
+    int rc = place ? updates_follow(f->t, &f->peer, a, wait, &redirect, &e)
+                   : updates_poll(f->t, &f->peer, a, wait, &e);
     bool old = rc >= 0 && watch_is_stale(&f->watch);
 
     f->store_failed = false;
     set_follows_store(f, false);
     if (rc == -EREMOTE) {
-        return redirected(f, a, &instead);
+        return redirected(f, a, &redirect);
     }
     if (rc == -ENOBUFS) { /* not the peer's fault */
         return watch_back_off(&f->watch);
     }
-    news_note(f->t, a, rc < 0 || old ? SOURCE_SILENT : SOURCE_TOLD);
+    updates_record_answer(f->t, a,
+                          rc < 0 || old ? SOURCE_SILENT : SOURCE_TOLD);
     if (rc < 0 || old) {
         log_line(LVL_WARN, "follow",
                  "Peer failed. peer=%s error=\"%s\" "
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -6,20 +6,20 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define BATCH 32       /* packets received in one call */
-#define TURNS 8        /* batches before the rest has its turn */
-#define IDLE_MS 1000   /* the longest sleep */
-#define PUBLISH_MS 500 /* between two copies of the statistics */
+#define PACKET_BATCH 32 /* packets received in one call */
+#define BATCHES_MAX 8   /* batches before the rest has its turn */
+#define IDLE_MS 1000    /* the longest sleep */
+#define PUBLISH_MS 500  /* between two copies of the statistics */
 /* A sleep that lasted so much longer than asked for: the process stood still,
  * and callers' repetitions of that time say nothing about upstreams. */
 #define PAUSE_MS 150
 /* Lines about single flows, a second; with bursts of as many.  A busy instance
  * opens some hundred flows a second; beyond, the metrics tell. */
-#define FLOW_LINES_PER_S 200
+#define FLOW_LOG_RATE 200
 
 /* Packets that wait in the socket for the first routes are served when those
  * came so soon after the start; later, their callers have given up. */
-#define WAIT_FRESH_MS 1000
+#define START_BACKLOG_MS 1000
 
 typedef struct {
     tagged_t *t;
@@ -29,30 +29,32 @@
     ms_t now;
     ms_t current_at; /* of the replica, as of the last look */
     ms_t publish_at;
-    double lines; /* log lines that may be written now */
-    ms_t lines_at;
+    double log_tokens; /* log lines that may be written now */
+    ms_t log_tokens_at;
     sender_t *sender;
-    struct mmsghdr in[BATCH];
-    struct iovec in_iov[BATCH];
-    char stamp[BATCH][UDP_STAMP_LEN];
-    uint8_t data[BATCH][PACKET_BYTES + 1]; /* one more: too long shows */
+    struct mmsghdr in[PACKET_BATCH];
+    struct iovec in_iov[PACKET_BATCH];
+    char stamp[PACKET_BATCH][UDP_STAMP_LEN];
+    uint8_t data[PACKET_BATCH]
+                [PACKET_BYTES + 1]; /* one more: too long shows */
 } packets_t;
 
 /* ---- Log lines about flows, at a bounded rate ---- */
 
 static bool
-may_log(packets_t *p)
+log_allowed(packets_t *p)
 {
-    p->lines += (double)(p->now - p->lines_at) * FLOW_LINES_PER_S / 1000;
-    p->lines_at = p->now;
-    if (p->lines > FLOW_LINES_PER_S) {
-        p->lines = FLOW_LINES_PER_S;
+    p->log_tokens +=
+        (double)(p->now - p->log_tokens_at) * FLOW_LOG_RATE / 1000;
+    p->log_tokens_at = p->now;
+    if (p->log_tokens > FLOW_LOG_RATE) {
+        p->log_tokens = FLOW_LOG_RATE;
     }
-    if (p->lines < 1) {
-        counter_add(&p->t->count.lines_limited, 1);
+    if (p->log_tokens < 1) {
+        counter_add(&p->t->count.log_lines_limited, 1);
         return false;
     }
-    p->lines--;
+    p->log_tokens--;
     return true;
 }
 
@@ -62,7 +64,7 @@
     char caller[ADDR_STRLEN], service[ADDR_STRLEN], to[ADDR_STRLEN];
 
     /* A flow's later packets follow its opening: not a decision each. */
-    if (d->reason == FLOW_BY_TAG || !may_log(p)) {
+    if (d->reason == FLOW_BY_TAG || !log_allowed(p)) {
         return;
     }
     addr_text(&in->caller, caller);
@@ -107,7 +109,7 @@
 {
     char id[PACKET_ID_LEN], caller[ADDR_STRLEN], service[ADDR_STRLEN];
 
-    if (d->asks && packet_request_id(data, len, id) && may_log(p)) {
+    if (d->asks && packet_request_id(data, len, id) && log_allowed(p)) {
         log_line(LVL_INFO, "request",
                  "Begins. request=%s flow=%s>%s upstream=%llx busy=%u", id,
                  addr_text(&in->caller, caller),
@@ -154,7 +156,7 @@
     case FLOW_OUT_RESET:
         sender_reset(p->sender, &out->reset.caller, &out->reset.service,
                      out->reset.seq);
-        if (may_log(p)) {
+        if (log_allowed(p)) {
             log_line(LVL_INFO, "flow",
                      "Reset. flow=%s>%s reason=%s upstream=%llx seq=%u",
                      addr_text(&out->reset.caller, caller),
@@ -188,7 +190,7 @@
 /* ---- Changes of the replica ---- */
 
 static void
-take_routes(packets_t *p, store_event_t *ev)
+apply_routes(packets_t *p, store_event_t *ev)
 {
     flow_conf_t *c = ev->routes;
     uint64_t version = c->version;
@@ -204,7 +206,7 @@
 }
 
 static void
-take_upstream(packets_t *p, const store_event_t *ev, bool first)
+apply_upstream(packets_t *p, const store_event_t *ev, bool first)
 {
     const flow_upstream_t *u = &ev->upstream;
     char addr[ADDR_STRLEN];
@@ -223,7 +225,7 @@
 }
 
 static void
-take_evacuation(packets_t *p, const store_event_t *ev)
+apply_evacuation(packets_t *p, const store_event_t *ev)
 {
     const char *data_centre = ev->evacuation.data_centre;
     bool evacuated = ev->evacuation.evacuated;
@@ -246,14 +248,14 @@
 }
 
 static void
-take_event(packets_t *p, store_event_t *ev, bool first)
+apply_event(packets_t *p, store_event_t *ev, bool first)
 {
     switch (ev->kind) {
     case STORE_ROUTES:
-        take_routes(p, ev);
+        apply_routes(p, ev);
         return;
     case STORE_UPSTREAM:
-        take_upstream(p, ev, first);
+        apply_upstream(p, ev, first);
         return;
     case STORE_UPSTREAM_GONE:
         log_line(LVL_INFO, "upstreams",
@@ -262,7 +264,7 @@
         flowset_remove_upstream(p->flows, p->now, ev->id);
         return;
     case STORE_EVACUATION:
-        take_evacuation(p, ev);
+        apply_evacuation(p, ev);
         return;
     case STORE_PEER:
     case STORE_PEER_GONE:
@@ -275,26 +277,26 @@
  * the socket: a reset for want of a route would have been false, and would
  * have used up the callers' retries just when all instances return. */
 static void
-begin_serving(packets_t *p)
+start_serving(packets_t *p)
 {
     ms_t since = p->now - p->t->started;
     uint64_t dropped = 0;
 
-    while (since > WAIT_FRESH_MS &&
+    while (since > START_BACKLOG_MS &&
            recv(p->t->flow_fd, p->data[0], 1, MSG_DONTWAIT | MSG_TRUNC) >= 0) {
         dropped++;
     }
     p->serving = true;
-    SHARE(p->t, ready, true);
+    ATOMIC_SET(p->t, ready, true);
     log_line(LVL_INFO, "packets", "Serving. since_start_ms=%lld dropped=%llu",
              (long long)since, (unsigned long long)dropped);
 }
 
 static void
-take_changes(packets_t *p, changes_t *c)
+apply_changes(packets_t *p, changes_t *c)
 {
     for (size_t i = 0; i < c->n; i++) {
-        take_event(p, &c->event[i], c->first);
+        apply_event(p, &c->event[i], c->first);
     }
     if (c->first) {
         const flow_stats_t *s = flowset_stats(p->flows);
@@ -303,7 +305,7 @@
                  s->upstreams, s->usable, s->routes);
     }
     if (!p->serving && flowset_ready(p->flows)) {
-        begin_serving(p);
+        start_serving(p);
     }
 }
 
@@ -312,7 +314,7 @@
  * are, so that it promises none that is yet to come.  Whoever holds the lock
  * may be decoding a long configuration: packets don't wait for that. */
 static void
-take_news(packets_t *p, duty_t *self)
+apply_updates(packets_t *p, duty_t *self)
 {
     bool ends = flowset_evacuation_ends(p->flows);
     bool locked = ends && pthread_mutex_trylock(&p->t->follow_lock) == 0;
@@ -324,7 +326,7 @@
         pthread_mutex_unlock(&p->t->follow_lock);
     }
     while (duty_take(self, &msg, 1) == 1) {
-        take_changes(p, msg);
+        apply_changes(p, msg);
         changes_free(msg);
     }
     if (ends) {
@@ -335,7 +337,7 @@
 /* ---- The loop ---- */
 
 static void
-take_packet(packets_t *p, uint8_t *data, size_t len, ms_t age)
+handle_packet(packets_t *p, uint8_t *data, size_t len, ms_t age)
 {
     flow_packet_t in;
     flow_decision_t d;
@@ -366,20 +368,21 @@
 static void
 receive(packets_t *p)
 {
-    int n = p->serving ? BATCH : 0;
+    int n = p->serving ? PACKET_BATCH : 0;
     ms_t real_now;
 
-    for (int turn = 0; turn < TURNS && n == BATCH; turn++) {
-        n = recvmmsg(p->t->flow_fd, p->in, BATCH, MSG_DONTWAIT, NULL);
+    for (int turn = 0; turn < BATCHES_MAX && n == PACKET_BATCH; turn++) {
+        n = recvmmsg(p->t->flow_fd, p->in, PACKET_BATCH, MSG_DONTWAIT, NULL);
         if (n <= 0) {
             return;
         }
         counter_add(&p->t->count.received, (uint64_t)n);
-        SHARE(p->t, packet_at, p->now);
+        ATOMIC_SET(p->t, packet_at, p->now);
         real_now = clock_wall();
         for (int i = 0; i < n; i++) {
             struct msghdr *h = &p->in[i].msg_hdr;
-            take_packet(p, p->data[i], p->in[i].msg_len, udp_age(h, real_now));
+            handle_packet(p, p->data[i], p->in[i].msg_len,
+                          udp_age(h, real_now));
             h->msg_controllen = sizeof(p->stamp[i]); /* for the next */
         }
         sender_flush(p->sender); /* before the buffers are filled again */
@@ -388,7 +391,7 @@
 
 /* Who opens flows at upstreams that warm up. */
 static void
-take_warmers(packets_t *p)
+update_warmers(packets_t *p)
 {
     uint64_t self, warmer[WARMERS_MAX];
     uint32_t n;
@@ -408,7 +411,7 @@
     if (p->now < p->publish_at) {
         return;
     }
-    take_warmers(p);
+    update_warmers(p);
     pthread_mutex_lock(&p->t->stats_lock);
     p->t->stats = *flowset_stats(p->flows);
     pthread_mutex_unlock(&p->t->stats_lock);
@@ -434,7 +437,7 @@
     p->t = t;
     p->flows = flowset_new(&spec);
     p->sender = sender_new(t);
-    for (int i = 0; i < BATCH; i++) {
+    for (int i = 0; i < PACKET_BATCH; i++) {
         p->in_iov[i] = (struct iovec){p->data[i], sizeof(p->data[i])};
         p->in[i].msg_hdr = (struct msghdr){.msg_iov = &p->in_iov[i],
                                            .msg_iovlen = 1,
@@ -481,7 +484,7 @@
     p.now = clock_now();
     while (!duty_stopping(self)) {
         sleep_until(&p, self, next);
-        take_news(&p, self);
+        apply_updates(&p, self);
         receive(&p);
         probes_check(&p.probes, probe_done, &p);
         next = flowset_tick(p.flows, p.now);
--- a/tagged/probes.c
+++ b/tagged/probes.c
@@ -42,7 +42,7 @@
         return -EAGAIN;
     }
     *free_ = (probe_t){.upstream = out->upstream,
-                       .until = clock_now() + out->probe.timeout_ms};
+                       .deadline = clock_now() + out->probe.timeout_ms};
     free_->fd = connect_to(&out->probe.to, &free_->failure);
     if (p->n <= (size_t)(free_ - p->probe)) {
         p->n = (size_t)(free_ - p->probe) + 1;
@@ -66,8 +66,8 @@
         if (q->fd < 0) {
             *next = 0;
         }
-        else if (q->until < *next) {
-            *next = q->until;
+        else if (q->deadline < *next) {
+            *next = q->deadline;
         }
     }
     return n;
@@ -112,7 +112,7 @@
         return true;
     }
     *failure = ETIMEDOUT;
-    return now >= q->until;
+    return now >= q->deadline;
 }
 
 void
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -15,8 +15,8 @@
     pthread_mutex_t lock;
     store_items_t items; /* sorted by key; a removed one has no value */
     size_t n_removed;
-    uint64_t floor; /* changes after it are complete */
-    former_t former;
+    uint64_t complete_after; /* changes after it are complete */
+    prev_values_t prev_values;
     /* Read without the lock, which is held while long values are compared. */
     uint64_t revision; /* that of ITEMS */
     ms_t current_at;
@@ -39,7 +39,7 @@
 {
     if (r != NULL) {
         store_items_free(&r->items);
-        former_free(&r->former);
+        prev_values_free(&r->prev_values);
         pthread_mutex_destroy(&r->lock);
         free(r);
     }
@@ -47,7 +47,7 @@
 
 /* Where KEY is, or belongs. */
 static size_t
-place(const store_items_t *s, const char *key, bool *found)
+find_position(const store_items_t *s, const char *key, bool *found)
 {
     size_t low = 0, high = s->n;
 
@@ -70,7 +70,7 @@
 }
 
 static void
-take_out(replica_t *r, size_t at)
+remove_item_at(replica_t *r, size_t at)
 {
     store_items_t *s = &r->items;
 
@@ -83,7 +83,7 @@
 }
 
 static int
-put_in(replica_t *r, size_t at, const store_item_t *new_)
+insert_item_at(replica_t *r, size_t at, const store_item_t *new_)
 {
     store_items_t *s = &r->items;
     store_item_t item;
@@ -104,21 +104,21 @@
  * Up to revision KNOWN the replica is complete: what isn't there has been
  * removed, and a source that is behind must not bring it back. */
 static int
-put(replica_t *r, const store_item_t *new_, uint64_t known,
-    store_items_t *changed)
+put_item(replica_t *r, const store_item_t *new_, uint64_t known,
+         store_items_t *changed)
 {
     bool found;
-    size_t at = place(&r->items, new_->key, &found);
+    size_t at = find_position(&r->items, new_->key, &found);
     int rc;
 
     if (new_->revision <= (found ? r->items.item[at].revision : known)) {
         return 0;
     }
     if (found) {
-        former_keep(&r->former, &r->items.item[at]);
-        take_out(r, at);
+        prev_values_add(&r->prev_values, &r->items.item[at]);
+        remove_item_at(r, at);
     }
-    rc = put_in(r, at, new_);
+    rc = insert_item_at(r, at, new_);
     if (rc < 0) {
         return rc;
     }
@@ -135,7 +135,7 @@
 
 /* Forgets the older half of what has been removed. */
 static void
-forget_removed(replica_t *r)
+prune_removed(replica_t *r)
 {
     uint64_t revision[REMOVED_MAX + 1], limit;
     size_t n = 0;
@@ -153,10 +153,10 @@
     for (size_t i = r->items.n; i-- > 0;) {
         if (r->items.item[i].value == NULL &&
             r->items.item[i].revision <= limit) {
-            take_out(r, i);
+            remove_item_at(r, i);
         }
     }
-    r->floor = limit > r->floor ? limit : r->floor;
+    r->complete_after = limit > r->complete_after ? limit : r->complete_after;
 }
 
 /* What is there and not in ITEMS, which is all there is, has been removed. */
@@ -169,12 +169,12 @@
     int rc = 0;
 
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = put(&seen, &items->item[i], 0, &ignored);
+        rc = put_item(&seen, &items->item[i], 0, &ignored);
     }
     for (size_t i = r->items.n; i-- > 0 && rc == 0;) {
         const store_item_t *it = &r->items.item[i];
         bool found;
-        place(&seen.items, it->key, &found);
+        find_position(&seen.items, it->key, &found);
         if (it->value != NULL && !found && it->revision <= items->revision) {
             store_item_t gone = {.key = it->key, .revision = items->revision};
             rc = store_items_add(changed, gone.key, NULL, gone.revision);
@@ -191,10 +191,10 @@
 
 /* Makes a value of ITEM's difference, unless what is here is as new. */
 static int
-expand(const replica_t *r, store_item_t *item)
+expand_delta(const replica_t *r, store_item_t *item)
 {
     bool found;
-    size_t at = place(&r->items, item->key, &found);
+    size_t at = find_position(&r->items, item->key, &found);
     const store_item_t *own = found ? &r->items.item[at] : NULL;
     char *value;
     int rc;
@@ -206,7 +206,7 @@
     if (!found || own->value == NULL || own->revision != item->difference_to) {
         return -ESTALE;
     }
-    rc = difference_apply(own->value, item->value, &value);
+    rc = value_delta_apply(own->value, item->value, &value);
     if (rc < 0) {
         return rc == -EBADMSG ? -ESTALE : rc;
     }
@@ -227,7 +227,7 @@
     pthread_mutex_lock(&r->lock);
     known = r->items.revision;
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = expand(r, &items->item[i]);
+        rc = expand_delta(r, &items->item[i]);
     }
     if (rc < 0) {
         pthread_mutex_unlock(&r->lock);
@@ -237,11 +237,12 @@
         rc = remove_missing(r, items, changed);
     }
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = put(r, &items->item[i], known, changed);
+        rc = put_item(r, &items->item[i], known, changed);
     }
     if (rc == 0 && items->revision > r->items.revision) {
         if (r->items.revision == 0) {
-            r->floor = items->revision; /* removals before aren't known */
+            r->complete_after =
+                items->revision; /* removals before aren't known */
         }
         r->items.revision = items->revision;
     }
@@ -251,7 +252,7 @@
         __atomic_store_n(&r->current_at, now - items->age, __ATOMIC_RELAXED);
     }
     __atomic_store_n(&r->revision, r->items.revision, __ATOMIC_RELEASE);
-    forget_removed(r);
+    prune_removed(r);
     pthread_mutex_unlock(&r->lock);
     return rc;
 }
@@ -312,23 +313,24 @@
 /* Replaces values in OUT by differences (heap) to what a peer has that knows
  * all up to AFTER. */
 static void
-select_differences(const replica_t *r, uint64_t after, store_items_t *out)
+select_deltas(const replica_t *r, uint64_t after, store_items_t *out)
 {
     for (size_t i = 0; i < out->n; i++) {
         store_item_t *it = &out->item[i];
-        const store_item_t *had = former_find(&r->former, it->key, after);
-        char *difference = had != NULL && it->value != NULL
-                               ? difference_make(had->value, it->value)
+        const store_item_t *base =
+            prev_values_find(&r->prev_values, it->key, after);
+        char *difference = base != NULL && it->value != NULL
+                               ? value_delta_make(base->value, it->value)
                                : NULL;
         if (difference != NULL) {
             it->value = difference;
-            it->difference_to = had->revision;
+            it->difference_to = base->revision;
         }
     }
 }
 
 static void
-free_differences(store_items_t *out)
+free_deltas(store_items_t *out)
 {
     for (size_t i = 0; i < out->n; i++) {
         if (out->item[i].difference_to != 0) {
@@ -343,7 +345,7 @@
     bool behind;
 
     pthread_mutex_lock(&r->lock);
-    behind = after < r->floor;
+    behind = after < r->complete_after;
     pthread_mutex_unlock(&r->lock);
     return behind;
 }
@@ -356,19 +358,19 @@
     char *text = NULL;
 
     pthread_mutex_lock(&r->lock);
-    out.whole = after < r->floor;
+    out.whole = after < r->complete_after;
     out.revision = r->items.revision;
     out.age = now + given_ms - r->current_at;
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
         if (differences && !out.whole) {
-            select_differences(r, after, &out);
+            select_deltas(r, after, &out);
         }
         text = store_items_write(&out);
     }
     pthread_mutex_unlock(&r->lock);
-    free_differences(&out);
+    free_deltas(&out);
     free(out.item);
     return text;
 }
--- a/tagged/report.c
+++ b/tagged/report.c
@@ -102,7 +102,7 @@
                  counter_read(&c->evicted));
     metric_print(f, "counter", "siskin_pauses_total",
                  counter_read(&c->pauses));
-    metric_print(f, "gauge", "siskin_store_up", SHARED(t, store_up));
+    metric_print(f, "gauge", "siskin_store_up", ATOMIC_GET(t, store_up));
     replica_metrics(f, t);
     metric_print(f, "counter", "siskin_store_calls_total",
                  store_calls(t->store[TOPIC_UPSTREAMS]) +
@@ -117,14 +117,14 @@
     metric_print(f, "counter", "siskin_peer_failures_total",
                  counter_read(&c->peer_failures));
     metric_print(f, "counter", "siskin_news_from_check_total",
-                 counter_read(&c->news_from_check));
+                 counter_read(&c->check_updates));
     metric_print(f, "gauge", "siskin_followers", followers);
     metric_print(f, "counter", "siskin_followers_sent_on_total",
-                 counter_read(&c->sent_on));
+                 counter_read(&c->followers_redirected));
     metric_print(f, "counter", "siskin_news_put_off_total",
-                 counter_read(&c->news_put_off));
+                 counter_read(&c->updates_deferred));
     metric_print(f, "counter", "siskin_log_lines_limited_total",
-                 counter_read(&c->lines_limited));
+                 counter_read(&c->log_lines_limited));
     metric_print(f, "counter", "siskin_log_lines_left_out_total",
                  log_left_out());
     fclose(f);
@@ -137,9 +137,9 @@
     const flow_stats_t s = copy_stats(t);
     json_t *o = json_pack(
         "{ss ss sb sb sb sI sI sI sI sI sI sI}", "instance", t->settings.name,
-        "data_centre", t->settings.data_centre, "ready", SHARED(t, ready),
-        "leaving", SHARED(t, leaving), "store_up", SHARED(t, store_up),
-        "version", (json_int_t)s.version, "revision",
+        "data_centre", t->settings.data_centre, "ready", ATOMIC_GET(t, ready),
+        "leaving", ATOMIC_GET(t, draining), "store_up",
+        ATOMIC_GET(t, store_up), "version", (json_int_t)s.version, "revision",
         (json_int_t)replica_revision(t->replica[TOPIC_UPSTREAMS]),
         "replica_age_ms", (json_int_t)(clock_now() - tagged_current_at(t)),
         "upstreams", (json_int_t)s.upstreams, "usable", (json_int_t)s.usable,
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define BATCH 32 /* packets sent in one call */
+#define PACKET_BATCH 32 /* packets sent in one call */
 /* UDP and IPv4 headers. */
 #define NET_HEAD_BYTES 28
 /* Between two log lines about a full queue. */
@@ -19,20 +19,20 @@
     uint64_t upstream;
     size_t len;
     uint8_t data[PACKET_BYTES];
-} waiting_t;
+} queued_packet_t;
 
 struct sender {
     tagged_t *t;
     pacer_t *pacer;
     ms_t full_line_at;
     unsigned n_out;
-    struct mmsghdr out[BATCH];
-    struct iovec iov[BATCH][2];
-    struct sockaddr_storage to[BATCH];
-    uint8_t prefix[BATCH][PACKET_PREFIX];
-    uint8_t reset[BATCH][PACKET_HEAD];
-    link_t unused; /* waiting_t.paced */
-    waiting_t waiting[PACER_MAX];
+    struct mmsghdr out[PACKET_BATCH];
+    struct iovec iov[PACKET_BATCH][2];
+    struct sockaddr_storage to[PACKET_BATCH];
+    uint8_t prefix[PACKET_BATCH][PACKET_PREFIX];
+    uint8_t reset[PACKET_BATCH][PACKET_HEAD];
+    link_t free_list; /* queued_packet_t.paced */
+    queued_packet_t queue[PACER_MAX];
 };
 
 sender_t *
@@ -50,9 +50,9 @@
         return NULL;
     }
     s->full_line_at = -FULL_LINE_MS;
-    list_init(&s->unused);
+    list_init(&s->free_list);
     for (int i = 0; i < PACER_MAX; i++) {
-        list_append(&s->unused, &s->waiting[i].paced.link);
+        list_append(&s->free_list, &s->queue[i].paced.link);
     }
     return s;
 }
@@ -97,7 +97,7 @@
     struct msghdr *h;
     unsigned i;
 
-    if (s->n_out == BATCH) {
+    if (s->n_out == PACKET_BATCH) {
         sender_flush(s);
     }
     i = s->n_out++;
@@ -138,20 +138,20 @@
 
 /* ---- Packets that wait for the link ---- */
 
-static waiting_t *
-waiting_of(paced_t *w)
+static queued_packet_t *
+queued_of(paced_t *w)
 {
-    return w != NULL ? LIST_OWNER(w, waiting_t, paced) : NULL;
+    return w != NULL ? LIST_OWNER(w, queued_packet_t, paced) : NULL;
 }
 
 /* A free place, or that of a packet of the flow that has most waiting. */
-static waiting_t *
+static queued_packet_t *
 make_room(sender_t *s, ms_t now)
 {
-    waiting_t *w;
+    queued_packet_t *w;
 
-    if (!list_empty(&s->unused)) {
-        w = LIST_OWNER(s->unused.next, waiting_t, paced.link);
+    if (!list_empty(&s->free_list)) {
+        w = LIST_OWNER(s->free_list.next, queued_packet_t, paced.link);
         list_remove(&w->paced.link);
         return w;
     }
@@ -163,11 +163,12 @@
                  pacer_waiting(s->pacer),
                  (unsigned long long)counter_read(&s->t->count.evicted));
     }
-    return waiting_of(pacer_evict(s->pacer));
+    return queued_of(pacer_evict(s->pacer));
 }
 
 static void
-fill(waiting_t *w, const uint8_t *data, size_t len, const flow_decision_t *d)
+set_packet(queued_packet_t *w, const uint8_t *data, size_t len,
+           const flow_decision_t *d)
 {
     w->to = d->to;
     w->upstream = d->upstream;
@@ -176,19 +177,19 @@
 }
 
 static void
-wait_for_link(sender_t *s, ms_t now, const flow_packet_t *in,
-              const uint8_t *data, size_t len, const flow_decision_t *d)
+enqueue_packet(sender_t *s, ms_t now, const flow_packet_t *in,
+               const uint8_t *data, size_t len, const flow_decision_t *d)
 {
-    waiting_t *w = waiting_of(pacer_find(s->pacer, in));
+    queued_packet_t *w = queued_of(pacer_find(s->pacer, in));
 
     if (w != NULL) { /* the later copy acknowledges more */
         counter_add(&s->t->count.retransmits, 1);
-        fill(w, data, len, d);
+        set_packet(w, data, len, d);
         return;
     }
     counter_add(&s->t->count.paced, 1);
     w = make_room(s, now);
-    fill(w, data, len, d);
+    set_packet(w, data, len, d);
     w->paced.caller = in->caller;
     w->paced.service = in->service;
     w->paced.seq = in->seq;
@@ -207,7 +208,7 @@
         send_upstream(s, data, len, &d->to, d->upstream);
     }
     else {
-        wait_for_link(s, now, in, data, len, d);
+        enqueue_packet(s, now, in, data, len, d);
     }
 }
 
@@ -217,9 +218,9 @@
     paced_t *w;
 
     while ((w = pacer_pop(s->pacer, now)) != NULL) {
-        waiting_t *q = waiting_of(w);
+        queued_packet_t *q = queued_of(w);
         send_upstream(s, q->data, q->len, &q->to, q->upstream);
-        list_append(&s->unused, &w->link); /* not used before the flush */
+        list_append(&s->free_list, &w->link); /* not used before the flush */
     }
     sender_flush(s);
     return pacer_due(s->pacer);
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -26,7 +26,7 @@
 static enum MHD_Result
 reply_ready(struct MHD_Connection *c, tagged_t *t)
 {
-    bool ready = SHARED(t, ready) && !SHARED(t, leaving);
+    bool ready = ATOMIC_GET(t, ready) && !ATOMIC_GET(t, draining);
 
     return http_reply(c, ready ? MHD_HTTP_OK : MHD_HTTP_SERVICE_UNAVAILABLE,
                       TEXT, strdup(ready ? "ready\n" : "not ready\n"));
@@ -35,48 +35,48 @@
 /* ---- Peers that wait for changes ---- */
 
 typedef struct {
-    struct MHD_Connection *c; /* NULL: a free place */
+    struct MHD_Connection *c; /* NULL: a free slot */
     uint64_t after[TOPICS];
     ms_t current_at[TOPICS]; /* of the replicas, as it began to wait */
-    ms_t until;
-} waiting_t;
+    ms_t deadline;
+} waiting_request_t;
 
 /* Under LOCK: requests come on the HTTP thread, changes and time on the
  * duty's. */
 static struct {
     pthread_mutex_t lock;
-    waiting_t place[WAITING_MAX];
+    waiting_request_t slot[WAITING_MAX];
     followers_t followers;
 } waiting = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
 static bool
-park(struct MHD_Connection *c, tagged_t *t, const uint64_t after[TOPICS],
-     ms_t until)
+suspend_request(struct MHD_Connection *c, tagged_t *t,
+                const uint64_t after[TOPICS], ms_t deadline)
 {
-    waiting_t w = {.c = c, .until = until};
-    bool parked = false;
+    waiting_request_t w = {.c = c, .deadline = deadline};
+    bool suspended = false;
 
     for (int i = 0; i < TOPICS; i++) {
         w.after[i] = after[i];
         w.current_at[i] = replica_current_at(t->replica[i]);
     }
     pthread_mutex_lock(&waiting.lock);
-    for (size_t i = 0; i < WAITING_MAX && !parked; i++) {
-        if (waiting.place[i].c == NULL) {
-            waiting.place[i] = w;
-            SHARE(t, waiting, SHARED(t, waiting) + 1);
+    for (size_t i = 0; i < WAITING_MAX && !suspended; i++) {
+        if (waiting.slot[i].c == NULL) {
+            waiting.slot[i] = w;
+            ATOMIC_SET(t, waiting, ATOMIC_GET(t, waiting) + 1);
             MHD_suspend_connection(c);
-            parked = true;
+            suspended = true;
         }
     }
     pthread_mutex_unlock(&waiting.lock);
-    return parked;
+    return suspended;
 }
 
-/* There is news of a topic, or a confirmation that there is none. */
+/* There is has_updates of a topic, or a confirmation that there is none. */
 static bool
-has_heard(const waiting_t *w, const uint64_t revision[TOPICS],
-          const ms_t current_at[TOPICS])
+has_update(const waiting_request_t *w, const uint64_t revision[TOPICS],
+           const ms_t current_at[TOPICS])
 {
     for (int i = 0; i < TOPICS; i++) {
         if (revision[i] > w->after[i] ||
@@ -87,9 +87,9 @@
     return false;
 }
 
-/* Lets go on whose wait is over; returns how long until the next is. */
+/* Lets go on whose wait is over; returns how long deadline the next is. */
 static ms_t
-release(tagged_t *t, bool all)
+resume_requests(tagged_t *t, bool all)
 {
     uint64_t revision[TOPICS];
     ms_t current_at[TOPICS];
@@ -101,34 +101,34 @@
     }
     pthread_mutex_lock(&waiting.lock);
     for (size_t i = 0; i < WAITING_MAX; i++) {
-        waiting_t *w = &waiting.place[i];
+        waiting_request_t *w = &waiting.slot[i];
         if (w->c == NULL) {
             continue;
         }
-        if (all || now >= w->until || has_heard(w, revision, current_at)) {
+        if (all || now >= w->deadline || has_update(w, revision, current_at)) {
             MHD_resume_connection(w->c);
             w->c = NULL;
-            SHARE(t, waiting, SHARED(t, waiting) - 1);
+            ATOMIC_SET(t, waiting, ATOMIC_GET(t, waiting) - 1);
         }
-        else if (next < 0 || w->until - now < next) {
-            next = w->until - now;
+        else if (next < 0 || w->deadline - now < next) {
+            next = w->deadline - now;
         }
     }
     pthread_mutex_unlock(&waiting.lock);
     return next;
 }
 
-/* Has FROM a place, or does it get one? */
+/* Has FROM a slot, or does it get one? */
 static bool
-take_follower(tagged_t *t, const addr_t *from, addr_t *instead)
+admit_follower(tagged_t *t, const addr_t *from, addr_t *redirect)
 {
     bool taken;
 
     pthread_mutex_lock(&waiting.lock);
-    taken = followers_take(&waiting.followers, clock_now(), from, instead);
+    taken = followers_take(&waiting.followers, clock_now(), from, redirect);
     pthread_mutex_unlock(&waiting.lock);
     if (!taken) {
-        counter_add(&t->count.sent_on, 1);
+        counter_add(&t->count.followers_redirected, 1);
     }
     return taken;
 }
@@ -151,7 +151,7 @@
 }
 
 static uint64_t
-number(struct MHD_Connection *c, const char *name)
+uint_argument(struct MHD_Connection *c, const char *name)
 {
     const char *s = argument(c, name);
 
@@ -160,48 +160,53 @@
 
 /* The follower that asks; false: it is no follower. */
 static bool
-asker(struct MHD_Connection *c, addr_t *from)
+follower_address(struct MHD_Connection *c, addr_t *from)
 {
     const char *s = argument(c, "from");
 
     return s != NULL && addr_parse(from, s) == 0;
 }
 
-/* The revisions that the asker has; "after" stands for all topics. */
+/* The revisions that the follower_address has; "after" stands for all topics.
+ */
 static bool
 read_after(struct MHD_Connection *c, const tagged_t *t, uint64_t after[TOPICS])
 {
-    bool news = false;
+    bool has_updates = false;
 
     for (int i = 0; i < TOPICS; i++) {
         const char *name = store_topic_name((store_topic_t)i);
-        after[i] = number(c, argument(c, name) != NULL ? name : "after");
-        news = news || replica_revision(t->replica[i]) > after[i];
+        after[i] =
+            uint_argument(c, argument(c, name) != NULL ? name : "after");
+        has_updates =
+            has_updates || replica_revision(t->replica[i]) > after[i];
     }
-    return news;
+    return has_updates;
 }
 
 static enum MHD_Result
 reply_replica(struct MHD_Connection *c, tagged_t *t, bool waited)
 {
-    uint64_t after[TOPICS], wait = number(c, "wait_ms");
-    bool news = read_after(c, t, after);
+    uint64_t after[TOPICS], wait = uint_argument(c, "wait_ms");
+    bool has_updates = read_after(c, t, after);
     ms_t now = clock_now();
-    addr_t from, instead;
+    addr_t from, redirect;
     char text[ADDR_STRLEN];
 
-    if (!waited && asker(c, &from) && !take_follower(t, &from, &instead)) {
+    if (!waited && follower_address(c, &from) &&
+        !admit_follower(t, &from, &redirect)) {
         return http_reply(c, MHD_HTTP_TEMPORARY_REDIRECT, TEXT,
-                          strdup(addr_text(&instead, text)));
+                          strdup(addr_text(&redirect, text)));
     }
-    if (!waited && wait > 0 && !news &&
-        park(c, t, after,
-             now + (ms_t)(wait < WAIT_MAX_MS ? wait : WAIT_MAX_MS))) {
+    if (!waited && wait > 0 && !has_updates &&
+        suspend_request(c, t, after,
+                        now +
+                            (ms_t)(wait < WAIT_MAX_MS ? wait : WAIT_MAX_MS))) {
         duty_wake(kern_find(t->kern, "serve"));
         return MHD_YES;
     }
     return answers_reply(t->answers, t->replica, c, after,
-                         number(c, "differences") > 0);
+                         uint_argument(c, "differences") > 0);
 }
 
 static enum MHD_Result
@@ -285,9 +290,9 @@
     admin = listen_at(t, &t->settings.admin_addr);
 
     while (!duty_stopping(self)) {
-        duty_wait(self, NULL, 0, release(t, false));
+        duty_wait(self, NULL, 0, resume_requests(t, false));
     }
-    release(t, true); /* none may be suspended at the end */
+    resume_requests(t, true); /* none may be suspended at the end */
     if (ready != NULL) {
         MHD_stop_daemon(ready);
     }
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -33,26 +33,26 @@
 
 /* ---- former.c: differences to long values ---- */
 
-#define FORMER_MAX 3
+#define PREV_VALUES_MAX 3
 
 /* The last values that were replaced, oldest first. */
 typedef struct {
-    store_item_t value[FORMER_MAX];
+    store_item_t value[PREV_VALUES_MAX];
     uint32_t n;
-} former_t;
+} prev_values_t;
 
-void former_free(former_t *f);
+void prev_values_free(prev_values_t *f);
 /* Keeps a copy of ITEM, if it is long. */
-void former_keep(former_t *f, const store_item_t *item);
+void prev_values_add(prev_values_t *f, const store_item_t *item);
 /* The value of KEY that a peer has which knows all up to AFTER, as far as is
  * known here; NULL: it isn't kept. */
-const store_item_t *former_find(const former_t *f, const char *key,
-                                uint64_t after);
+const store_item_t *prev_values_find(const prev_values_t *f, const char *key,
+                                     uint64_t after);
 /* What makes TO of FROM, as text on the heap; NULL without memory. */
-char *difference_make(const char *from, const char *to);
+char *value_delta_make(const char *from, const char *to);
 /* *TO receives the text on the heap.  -EBADMSG: it is a difference to another
  * text. */
-int difference_apply(const char *from, const char *difference, char **to);
+int value_delta_apply(const char *from, const char *difference, char **to);
 
 /* ---- The replica: what the store holds of a topic, as it was last seen ----
  */
@@ -90,15 +90,16 @@
 
 /* One topic's part of a question. */
 typedef struct {
-    bool packed;      /* the asker takes packed answers */
+    bool packed;      /* the follower_address takes packed answers */
     bool differences; /* and differences to long values */
     bool whole;       /* it needs all there is */
     uint64_t after;
     uint64_t revision; /* of the replica then */
-} question_t;
+} answer_query_t;
 
 /* Does the answer to KEPT, AGE old, answer what is ASKED?  Pure. */
-bool answer_serves(const question_t *kept, ms_t age, const question_t *asked);
+bool answer_is_reusable(const answer_query_t *kept, ms_t age,
+                        const answer_query_t *asked);
 
 /* NULL without memory. */
 answers_t *answers_new(void);
@@ -123,17 +124,17 @@
 
 typedef struct {
     uint64_t received, sent, unreadable, send_failed;
-    uint64_t lines_limited; /* log lines left out by their rate */
-    uint64_t paced;         /* packets that waited for the link */
-    uint64_t retransmits;   /* that took the place of one that waited */
-    uint64_t evicted;       /* packets dropped: too many waited */
+    uint64_t log_lines_limited; /* log lines left out by their rate */
+    uint64_t paced;             /* packets that waited for the link */
+    uint64_t retransmits;       /* that took the place of one that waited */
+    uint64_t evicted;           /* packets dropped: too many waited */
     uint64_t probes_skipped;
     uint64_t pauses;
     uint64_t store_failures, refused_items;
     uint64_t peer_calls, peer_failures; /* follow's and check's: atomic */
-    uint64_t news_from_check; /* what the followed source had not told */
-    uint64_t news_put_off;    /* packets' inbox was full */
-    uint64_t sent_on;         /* askers, to followers of this instance */
+    uint64_t check_updates;        /* what the followed source had not told */
+    uint64_t updates_deferred;     /* packets' inbox was full */
+    uint64_t followers_redirected; /* askers, to followers of this instance */
 } tagged_counters_t;
 
 typedef struct {
@@ -150,7 +151,7 @@
     ms_t started;
     /* Atomic facts */
     bool ready;         /* there are routes and upstreams */
-    bool leaving;       /* SIGTERM came */
+    bool draining;      /* SIGTERM came */
     bool reload;        /* SIGHUP came: follow reads the settings again */
     bool store_up;      /* the last call to the store succeeded */
     bool follows_store; /* this instance reads the store, not a peer */
@@ -162,8 +163,8 @@
     flow_stats_t stats;
 } tagged_t;
 
-#define SHARED(t, name) __atomic_load_n(&(t)->name, __ATOMIC_RELAXED)
-#define SHARE(t, name, value)                                                 \
+#define ATOMIC_GET(t, name) __atomic_load_n(&(t)->name, __ATOMIC_RELAXED)
+#define ATOMIC_SET(t, name, value)                                            \
     __atomic_store_n(&(t)->name, value, __ATOMIC_RELAXED)
 
 /* When the replicas were last known to be current: the older of them. */
@@ -183,14 +184,15 @@
 /* ---- watch.c: a topic of the store ---- */
 
 typedef struct {
-    ms_t wait_ms;   /* long-poll timeout */
-    ms_t stale_ms;  /* age at which what is known counts as old */
-    ms_t gather_ms; /* pause after a change */
-} watch_pace_t;
+    ms_t wait_ms;     /* long-poll timeout */
+    ms_t stale_ms;    /* age at which what is known counts as old */
+    ms_t coalesce_ms; /* pause after a change */
+} watch_timing_t;
 
 /* For a topic of which a change may take CHANGE_MS, at an instance whose link
  * carries LINK_MBPS (0: not told). */
-watch_pace_t watch_pace(store_topic_t topic, ms_t change_ms, double link_mbps);
+watch_timing_t watch_timing(store_topic_t topic, ms_t change_ms,
+                            double link_mbps);
 
 typedef struct {
     tagged_t *t;
@@ -203,7 +205,7 @@
     bool needs_resync;
     bool failed; /* the last call did */
     ms_t progress_at;
-    watch_pace_t pace;
+    watch_timing_t timing;
     ms_t backoff;
 } watch_t;
 
@@ -226,27 +228,30 @@
  * whoever brings it.  The number of new items, or -ENOMEM.  -ENOBUFS: packets'
  * inbox is full, and nothing was taken; -ESTALE: nor was it, as in
  * replica_merge(). */
-int news_take(tagged_t *t, store_items_t *items);
+int updates_apply(tagged_t *t, store_items_t *items);
 /* Takes only what ITEMS tell of peers. */
-void news_take_peers(tagged_t *t, const store_items_t *items);
+void updates_apply_peers(tagged_t *t, const store_items_t *items);
 typedef struct {
     addr_t addr;
     void *http;
-    unsigned late; /* answers with everything that came too late, in a row */
-    bool values;   /* a difference did not fit: the values are needed */
+    unsigned late_answers; /* answers with everything that came too late, in a
+                              row */
+    bool needs_values; /* a difference did not fit: the values are needed */
 } peer_client_t;
 
 /* Asks the peer at A for what is newer, by the client C, which is made anew
- * when it is for another peer.  The answer may take WAIT_MS.  As news_take().
+ * when it is for another peer.  The answer may take WAIT_MS.  As
+ * updates_apply().
  */
-int news_ask(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
-             err_t *e);
-/* The same as a follower of A.  -EREMOTE: A has no place, and *INSTEAD is to
+int updates_poll(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
+                 err_t *e);
+/* The same as a follower of A.  -EREMOTE: A has no place, and *REDIRECT is to
  * be followed. */
-int news_follow(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
-                addr_t *instead, err_t *e);
+int updates_follow(tagged_t *t, peer_client_t *c, const addr_t *a,
+                   ms_t wait_ms, addr_t *redirect, err_t *e);
 /* What came of asking the peer at A, for the choice of the next. */
-void news_note(tagged_t *t, const addr_t *a, source_answer_t answer);
+void updates_record_answer(tagged_t *t, const addr_t *a,
+                           source_answer_t answer);
 void peer_client_close(peer_client_t *c);
 
 /* ---- send.c: packets out, in batches, paced to the link ---- */
@@ -273,7 +278,7 @@
 
 typedef struct {
     uint64_t upstream; /* 0: a free place */
-    ms_t until;
+    ms_t deadline;
     int fd;      /* -1: it failed at once */
     int failure; /* errno of that */
 } probe_t;
--- a/tagged/news.c
+++ b/tagged/updates.c
@@ -72,7 +72,7 @@
 }
 
 static int
-forward(tagged_t *t, const store_items_t *items, bool first)
+post_changes(tagged_t *t, const store_items_t *items, bool first)
 {
     changes_t *c = calloc(1, sizeof(*c) + (items->n + 1) * sizeof(*c->event));
     int rc;
@@ -96,10 +96,10 @@
 }
 
 /* Whatever is new would be lost: packets has no room, and what the replica
- * holds is told by nobody again.  Only news_take() sends to packets, one
+ * holds is told by nobody again.  Only updates_apply() sends to packets, one
  * thread at a time, so that room that is there now stays. */
 static bool
-queue_is_full(tagged_t *t, const store_items_t *items)
+defers_update(tagged_t *t, const store_items_t *items)
 {
     const duty_t *packets = kern_find(t->kern, "packets");
 
@@ -107,7 +107,7 @@
         duty_depth(packets) < duty_capacity(packets)) {
         return false;
     }
-    counter_add(&t->count.news_put_off, 1);
+    counter_add(&t->count.updates_deferred, 1);
     log_line(LVL_WARN, "news",
              "Packet queue full, update deferred. topic=%s revision=%llu "
              "was=%llu items=%zu",
@@ -119,7 +119,7 @@
 }
 
 int
-news_take(tagged_t *t, store_items_t *items)
+updates_apply(tagged_t *t, store_items_t *items)
 {
     replica_t *r = t->replica[items->topic];
     store_items_t changed;
@@ -127,7 +127,7 @@
     int n, rc;
 
     pthread_mutex_lock(&t->follow_lock);
-    if (queue_is_full(t, items)) {
+    if (defers_update(t, items)) {
         pthread_mutex_unlock(&t->follow_lock);
         return -ENOBUFS;
     }
@@ -135,12 +135,12 @@
     rc = replica_merge(r, clock_now(), items, &changed);
     n = (int)changed.n;
     if (rc == 0 && n > 0) {
-        rc = forward(t, &changed, first);
+        rc = post_changes(t, &changed, first);
     }
     pthread_mutex_unlock(&t->follow_lock);
     store_items_free(&changed);
-    if (n > 0 || SHARED(t, waiting) > 0) { /* for news, or to hear that there
-                                            * are none */
+    if (n > 0 || ATOMIC_GET(t, waiting) > 0) { /* for news, or to hear that
+                                                * there are none */
         duty_wake(kern_find(t->kern, "serve"));
     }
     if (first && n > 0) { /* the list may have been left to peers */
@@ -151,7 +151,7 @@
 }
 
 void
-news_take_peers(tagged_t *t, const store_items_t *items)
+updates_apply_peers(tagged_t *t, const store_items_t *items)
 {
     pthread_mutex_lock(&t->follow_lock);
     for (size_t i = 0; i < items->n; i++) {
@@ -167,7 +167,7 @@
 }
 
 void
-news_note(tagged_t *t, const addr_t *a, source_answer_t answer)
+updates_record_answer(tagged_t *t, const addr_t *a, source_answer_t answer)
 {
     pthread_mutex_lock(&t->follow_lock);
     sources_checked(&t->sources, clock_now(), a, answer);
@@ -199,12 +199,12 @@
 /* Asks for what is newer; FROM names this instance as a follower, or is "".
  * The answer is the caller's to read. */
 static int
-ask(tagged_t *t, peer_client_t *c, const addr_t *a, const char *from,
-    ms_t wait_ms, http_reply_t *r, err_t *e)
+request_updates(tagged_t *t, peer_client_t *c, const addr_t *a,
+                const char *from, ms_t wait_ms, http_reply_t *r, err_t *e)
 {
     char path[160 + ADDR_STRLEN];
     bool known = tagged_has_replicas(t);
-    ms_t slack = known ? PEER_SLACK_MS : PEER_SLACK_MS << c->late;
+    ms_t slack = known ? PEER_SLACK_MS : PEER_SLACK_MS << c->late_answers;
     http_call_t call = {.path = path,
                         .timeout_ms = wait_ms + slack,
                         .connect_ms = known ? PEER_SLACK_MS : START_CONNECT_MS,
@@ -221,23 +221,23 @@
              "&differences=%d%s%s",
              (unsigned long long)replica_revision(t->replica[TOPIC_UPSTREAMS]),
              (unsigned long long)replica_revision(t->replica[TOPIC_OPERATOR]),
-             (long long)wait_ms, !c->values, from[0] != '\0' ? "&from=" : "",
-             from);
+             (long long)wait_ms, !c->needs_values,
+             from[0] != '\0' ? "&from=" : "", from);
     __atomic_add_fetch(&t->count.peer_calls, 1, __ATOMIC_RELAXED);
     rc = http_call(c->http, &call, r, e);
     if (rc == -ETIMEDOUT) {
-        c->late += c->late < LATE_MAX;
+        c->late_answers += c->late_answers < LATE_MAX;
     }
     else if (rc == 0) {
-        c->late = 0;
+        c->late_answers = 0;
     }
     return rc;
 }
 
-/* Takes what a peer told of each topic; as news_take(), of the first topic
+/* Takes what a peer told of each topic; as updates_apply(), of the first topic
  * that fails, else the number of new items. */
 static int
-take_topics(tagged_t *t, store_items_t items[TOPICS], ms_t transfer_ms)
+apply_topics(tagged_t *t, store_items_t items[TOPICS], ms_t transfer_ms)
 {
     int n = 0, rc = 0;
 
@@ -245,7 +245,7 @@
         int taken = 0;
         items[i].age += transfer_ms; /* told as of its first bytes */
         if (items[i].revision > 0) {
-            taken = news_take(t, &items[i]);
+            taken = updates_apply(t, &items[i]);
         }
         n += taken > 0 ? taken : 0;
         rc = rc < 0 ? rc : taken;
@@ -256,7 +256,7 @@
 /* Takes the answer R, if RC says that there is one.  -ENODATA: the peer knows
  * nothing itself yet. */
 static int
-take_answer(tagged_t *t, peer_client_t *c, int rc, const http_reply_t *r)
+apply_reply(tagged_t *t, peer_client_t *c, int rc, const http_reply_t *r)
 {
     store_items_t items[TOPICS];
     bool empty;
@@ -271,40 +271,40 @@
     }
     empty = items[TOPIC_UPSTREAMS].revision == 0 &&
             items[TOPIC_OPERATOR].revision == 0;
-    rc = empty ? -ENODATA : take_topics(t, items, r->transfer_ms);
-    c->values = rc == -ESTALE;
+    rc = empty ? -ENODATA : apply_topics(t, items, r->transfer_ms);
+    c->needs_values = rc == -ESTALE;
     store_topics_free(items);
     return rc;
 }
 
 int
-news_ask(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
-         err_t *e)
+updates_poll(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
+             err_t *e)
 {
     http_reply_t r;
-    int rc = ask(t, c, a, "", wait_ms, &r, e);
+    int rc = request_updates(t, c, a, "", wait_ms, &r, e);
 
-    rc = take_answer(t, c, rc, &r);
+    rc = apply_reply(t, c, rc, &r);
     if (rc == -ESTALE) {
-        rc = ask(t, c, a, "", 0, &r, e);
-        rc = take_answer(t, c, rc, &r);
+        rc = request_updates(t, c, a, "", 0, &r, e);
+        rc = apply_reply(t, c, rc, &r);
     }
     return rc;
 }
 
 int
-news_follow(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
-            addr_t *instead, err_t *e)
+updates_follow(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
+               addr_t *redirect, err_t *e)
 {
     char self[ADDR_STRLEN];
     http_reply_t r;
-    int rc =
-        ask(t, c, a, addr_text(&t->settings.admin_addr, self), wait_ms, &r, e);
+    int rc = request_updates(t, c, a, addr_text(&t->settings.admin_addr, self),
+                             wait_ms, &r, e);
 
     if (rc == 0 && r.status == MHD_HTTP_TEMPORARY_REDIRECT &&
-        addr_parse(instead, r.body) == 0) {
+        addr_parse(redirect, r.body) == 0) {
         return -EREMOTE;
     }
-    rc = take_answer(t, c, rc, &r);
-    return rc == -ESTALE ? news_ask(t, c, a, 0, e) : rc;
+    rc = apply_reply(t, c, rc, &r);
+    return rc == -ESTALE ? updates_poll(t, c, a, 0, e) : rc;
 }
--- a/tagged/former.c
+++ b/tagged/value_delta.c
@@ -12,13 +12,13 @@
 #include <string.h>
 
 /* Shorter values are sent whole. */
-#define LONG_BYTES 4096
+#define LONG_VALUE_BYTES 4096
 /* Former values together; one is kept however long it is. */
-#define FORMER_BYTES (4u * 1024 * 1024)
+#define PREV_VALUES_BYTES (4u * 1024 * 1024)
 #define VALUE_MAX (8u * 1024 * 1024)
 
 static void
-drop_oldest(former_t *f)
+drop_oldest(prev_values_t *f)
 {
     free(f->value[0].key);
     free(f->value[0].value);
@@ -27,7 +27,7 @@
 }
 
 void
-former_free(former_t *f)
+prev_values_free(prev_values_t *f)
 {
     while (f->n > 0) {
         drop_oldest(f);
@@ -35,7 +35,7 @@
 }
 
 static size_t
-bytes_of(const former_t *f)
+total_bytes(const prev_values_t *f)
 {
     size_t bytes = 0;
 
@@ -46,14 +46,14 @@
 }
 
 void
-former_keep(former_t *f, const store_item_t *item)
+prev_values_add(prev_values_t *f, const store_item_t *item)
 {
     store_item_t copy = {.revision = item->revision};
 
-    if (item->value == NULL || strlen(item->value) < LONG_BYTES) {
+    if (item->value == NULL || strlen(item->value) < LONG_VALUE_BYTES) {
         return;
     }
-    if (f->n == FORMER_MAX) {
+    if (f->n == PREV_VALUES_MAX) {
         drop_oldest(f);
     }
     copy.key = strdup(item->key);
@@ -64,13 +64,13 @@
         return;
     }
     f->value[f->n++] = copy;
-    while (f->n > 1 && bytes_of(f) > FORMER_BYTES) {
+    while (f->n > 1 && total_bytes(f) > PREV_VALUES_BYTES) {
         drop_oldest(f);
     }
 }
 
 const store_item_t *
-former_find(const former_t *f, const char *key, uint64_t after)
+prev_values_find(const prev_values_t *f, const char *key, uint64_t after)
 {
     for (uint32_t i = f->n; i-- > 0;) {
         const store_item_t *it = &f->value[i];
@@ -88,7 +88,7 @@
 }
 
 char *
-difference_make(const char *from, const char *to)
+value_delta_make(const char *from, const char *to)
 {
     blob_t old = blob_of(from), new_ = blob_of(to), delta;
     size_t room;
@@ -109,7 +109,7 @@
 }
 
 int
-difference_apply(const char *from, const char *difference, char **to)
+value_delta_apply(const char *from, const char *difference, char **to)
 {
     size_t len = strlen(difference);
     blob_t old = blob_of(from), delta = {.data = malloc(len + 1)}, new_;
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -17,18 +17,18 @@
  * was just before the change. */
 #define STALE_SHARE 0.83
 /* A long configuration, as it is read: that also takes of the rest. */
-#define READ_BYTES (512 * 1024)
-#define READ_LINK_MBPS 10.0 /* of a link whose rate isn't told */
+#define LONG_CONFIG_BYTES (512 * 1024)
+#define DEFAULT_LINK_MBPS 10.0 /* of a link whose rate isn't told */
 #define READ_MARGIN_MS 500
 /* Pause after a change, before the next watch: changes come in series, and
  * each answer is a call that is paid for. */
-#define GATHER_SHARE 0.067
+#define COALESCE_SHARE 0.067
 /* Changes that are due sooner are followed at the pace of this time. */
-#define CHANGE_SOONEST_MS 3000
+#define MIN_CHANGE_MS 3000
 /* Between a peer's answers, at the most (follow.c), and what one may take. */
-#define PEER_MS 900
-_Static_assert(WATCH_SHARE *CHANGE_SOONEST_MS + PEER_MS <=
-                   STALE_SHARE * CHANGE_SOONEST_MS,
+#define PEER_CONFIRM_MS 900
+_Static_assert(WATCH_SHARE *MIN_CHANGE_MS + PEER_CONFIRM_MS <=
+                   STALE_SHARE * MIN_CHANGE_MS,
                "in calm nothing may look old");
 /* Timeout of a page of the list, also of a slow store. */
 #define LIST_MS 1200
@@ -47,7 +47,7 @@
  * follower that read the store itself would wait as long: followers must not
  * leave a source that is at work over a slow link. */
 static void
-note_progress(void *watch)
+on_progress(void *watch)
 {
     watch_t *w = watch;
     replica_t *r = w->t->replica[w->topic];
@@ -60,29 +60,30 @@
     }
 }
 
-watch_pace_t
-watch_pace(store_topic_t topic, ms_t change_ms, double link_mbps)
+watch_timing_t
+watch_timing(store_topic_t topic, ms_t change_ms, double link_mbps)
 {
-    ms_t ms = change_ms < CHANGE_SOONEST_MS ? CHANGE_SOONEST_MS : change_ms;
-    double mbps = link_mbps > 0 ? link_mbps : READ_LINK_MBPS;
-    ms_t read_ms = (ms_t)(READ_BYTES * 8 / (mbps * 1000)) + READ_MARGIN_MS;
-    watch_pace_t p = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
-                      .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
-                      .gather_ms = (ms_t)(GATHER_SHARE * (double)ms)};
+    ms_t ms = change_ms < MIN_CHANGE_MS ? MIN_CHANGE_MS : change_ms;
+    double mbps = link_mbps > 0 ? link_mbps : DEFAULT_LINK_MBPS;
+    ms_t read_ms =
+        (ms_t)(LONG_CONFIG_BYTES * 8 / (mbps * 1000)) + READ_MARGIN_MS;
+    watch_timing_t p = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
+                        .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
+                        .coalesce_ms = (ms_t)(COALESCE_SHARE * (double)ms)};
 
     if (topic != TOPIC_OPERATOR) {
         return p;
     }
     p.wait_ms = (ms_t)(WATCH_OPERATOR_SHARE * (double)ms);
-    if (p.wait_ms < (ms_t)(WATCH_SHARE * CHANGE_SOONEST_MS)) {
-        p.wait_ms = (ms_t)(WATCH_SHARE * CHANGE_SOONEST_MS);
+    if (p.wait_ms < (ms_t)(WATCH_SHARE * MIN_CHANGE_MS)) {
+        p.wait_ms = (ms_t)(WATCH_SHARE * MIN_CHANGE_MS);
     }
     if (p.stale_ms > ms - read_ms) {
         p.stale_ms = ms - read_ms;
     }
     /* Whatever an instance's own link: its source's watch may last so long. */
-    if (p.stale_ms < p.wait_ms + PEER_MS) {
-        p.stale_ms = p.wait_ms + PEER_MS;
+    if (p.stale_ms < p.wait_ms + PEER_CONFIRM_MS) {
+        p.stale_ms = p.wait_ms + PEER_CONFIRM_MS;
     }
     return p;
 }
@@ -90,14 +91,14 @@
 void
 watch_init(watch_t *w, tagged_t *t, store_topic_t topic, ms_t change_ms)
 {
-    *w =
-        (watch_t){.t = t,
-                  .store = t->store[topic],
-                  .topic = topic,
-                  .pace = watch_pace(topic, change_ms, t->settings.link_mbps)};
+    *w = (watch_t){.t = t,
+                   .store = t->store[topic],
+                   .topic = topic,
+                   .timing =
+                       watch_timing(topic, change_ms, t->settings.link_mbps)};
     w->rng.seed = hash64(t->settings.name, strlen(t->settings.name),
                          (uint64_t)t->started + 1 + topic);
-    store_on_progress(w->store, note_progress, w);
+    store_on_progress(w->store, on_progress, w);
 }
 
 static uint64_t
@@ -111,7 +112,7 @@
 {
     ms_t age = clock_now() - replica_current_at(w->t->replica[w->topic]);
 
-    return age > w->pace.stale_ms ? 0 : w->pace.stale_ms - age + 1;
+    return age > w->timing.stale_ms ? 0 : w->timing.stale_ms - age + 1;
 }
 
 bool
@@ -132,7 +133,7 @@
 
 /* Logs when the store stops or starts to answer. */
 static void
-note_store(watch_t *w, int rc, const err_t *e)
+record_store_state(watch_t *w, int rc, const err_t *e)
 {
     bool up = rc >= 0;
 
@@ -158,7 +159,7 @@
 static int
 apply_items(watch_t *w, store_items_t *items)
 {
-    int rc = news_take(w->t, items);
+    int rc = updates_apply(w->t, items);
 
     if (rc != -ENOBUFS) { /* else nothing was taken, and nothing lost */
         w->needs_resync = rc < 0;
@@ -170,7 +171,7 @@
 /* The operator's topic has few keys and long values: a list is shorter than a
  * watch that brings several versions of one. */
 static bool
-lists_when_behind(const watch_t *w)
+prefers_list(const watch_t *w)
 {
     return w->topic == TOPIC_OPERATOR;
 }
@@ -183,7 +184,7 @@
     ms_t transfer_ms = items->age;
     int rc = apply_items(w, items);
 
-    if (rc > 0 && transfer_ms > SLOW_ANSWER_MS && lists_when_behind(w)) {
+    if (rc > 0 && transfer_ms > SLOW_ANSWER_MS && prefers_list(w)) {
         w->needs_resync = true;
     }
     return rc;
@@ -192,7 +193,7 @@
 /* What is known of the configuration is confirmed, or replaced by the newest
  * version; the list alone would transfer it each time. */
 static int
-list_operator(watch_t *w, err_t *e)
+list_operator_topic(watch_t *w, err_t *e)
 {
     store_items_t known, items;
     ms_t begun = clock_now();
@@ -219,7 +220,7 @@
     bool more = true;
 
     if (w->topic == TOPIC_OPERATOR) {
-        return list_operator(w, e);
+        return list_operator_topic(w, e);
     }
     while (more) {
         int rc = store_list_page(w->store, LIST_MS, &items, &more, e);
@@ -237,7 +238,7 @@
 {
     uint64_t after = revision(w);
     /* What is old is confirmed or replaced at once, without a wait. */
-    ms_t wait = watch_is_stale(w) ? 0 : w->pace.wait_ms;
+    ms_t wait = watch_is_stale(w) ? 0 : w->timing.wait_ms;
     store_items_t items;
     int rc = store_watch(w->store, w->topic, after, wait, &items, e);
 
@@ -254,9 +255,9 @@
 ms_t
 watch_failed(watch_t *w, int rc, const err_t *e)
 {
-    note_store(w, rc, e);
+    record_store_state(w, rc, e);
     w->failed = true;
-    w->needs_resync = w->needs_resync || lists_when_behind(w);
+    w->needs_resync = w->needs_resync || prefers_list(w);
     return watch_back_off(w);
 }
 
@@ -273,10 +274,10 @@
     if (rc < 0) {
         return watch_failed(w, rc, &e);
     }
-    note_store(w, rc, &e);
+    record_store_state(w, rc, &e);
     w->failed = false;
     w->backoff = 0;
-    return rc > 0 && !w->needs_resync ? w->pace.gather_ms : 0;
+    return rc > 0 && !w->needs_resync ? w->timing.coalesce_ms : 0;
 }
 
 /* The operator duty: follows the operator's topic at the store while this
@@ -293,8 +294,8 @@
     watch_init(&w, t, TOPIC_OPERATOR, (ms_t)t->settings.apply_ms);
     while (!duty_stopping(self)) {
         ms_t pause = watch_fresh_ms(&w);
-        bool reads =
-            SHARED(t, follows_store) || !SHARED(t, store_up) || pause == 0;
+        bool reads = ATOMIC_GET(t, follows_store) ||
+                     !ATOMIC_GET(t, store_up) || pause == 0;
         if (reads) {
             /* Peers told of the topic so far: a watch from what they told may
              * bring several versions. */
--- a/test/news_test.cc
+++ b/test/news_test.cc
@@ -39,7 +39,7 @@
 
     /* The upstream's announcement, and all the store holds up to REVISION. */
     int
-    told(uint64_t id, uint64_t revision)
+    apply_upstream(uint64_t id, uint64_t revision)
     {
         char key[40];
         store_items_t s = {};
@@ -51,14 +51,14 @@
                         "{\"service\":\"feed\",\"address\":\"10.0.0.1:80\","
                         "\"zone\":\"dc-0\",\"slots\":2,\"state\":\"ready\"}",
                         revision);
-        rc = news_take(t, &s);
+        rc = updates_apply(t, &s);
         store_items_free(&s);
         return rc;
     }
 
     /* The upstream that the next message announces; 0: there is none. */
     uint64_t
-    taken()
+    next_upstream()
     {
         void *msg;
         uint64_t id = 0;
@@ -83,17 +83,17 @@
     uint64_t id = 1, revision;
 
     while (duty_depth(packets) < duty_capacity(packets)) {
-        ASSERT_EQ(told(id, id), 1);
+        ASSERT_EQ(apply_upstream(id, id), 1);
         id++;
     }
     revision = replica_revision(t->replica[TOPIC_UPSTREAMS]);
-    EXPECT_EQ(told(id, id), -ENOBUFS);
+    EXPECT_EQ(apply_upstream(id, id), -ENOBUFS);
     EXPECT_EQ(replica_revision(t->replica[TOPIC_UPSTREAMS]), revision);
     for (uint64_t i = 1; i < id; i++) {
-        EXPECT_EQ(taken(), i);
+        EXPECT_EQ(next_upstream(), i);
     }
-    EXPECT_EQ(told(id, id), 1);
-    EXPECT_EQ(taken(), id);
+    EXPECT_EQ(apply_upstream(id, id), 1);
+    EXPECT_EQ(next_upstream(), id);
 }
 
 /* Most answers only confirm that nothing has changed: they need no room. */
@@ -102,8 +102,8 @@
     uint64_t id = 1;
 
     while (duty_depth(packets) < duty_capacity(packets)) {
-        ASSERT_EQ(told(id, id), 1);
+        ASSERT_EQ(apply_upstream(id, id), 1);
         id++;
     }
-    EXPECT_EQ(told(id - 1, id - 1), 0);
+    EXPECT_EQ(apply_upstream(id - 1, id - 1), 0);
 }
--- a/test/probes_test.cc
+++ b/test/probes_test.cc
@@ -20,7 +20,7 @@
     }
 
     static void
-    take(void *arg, uint64_t upstream, flow_probe_t result)
+    record(void *arg, uint64_t upstream, flow_probe_t result)
     {
         static_cast<Probes *>(arg)->done[upstream] = result;
     }
@@ -45,7 +45,7 @@
             ms_t next = MS_NEVER;
             size_t n = probes_poll(&p, fds, &next);
             poll(fds, n, 10);
-            probes_check(&p, take, this);
+            probes_check(&p, record, this);
         }
     }
 
@@ -135,7 +135,7 @@
 
     EXPECT_EQ(start(1, a, 20), 0);
     usleep(60000);
-    probes_check(&p, take, this);
+    probes_check(&p, record, this);
     EXPECT_EQ(done[1], PROBE_ANSWERED);
     close(fd);
 }
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -218,7 +218,7 @@
     rng_t rng = {11, 0};
 
     for (int round = 0; round < 200; round++) {
-        replica_t *mine = replica_new(0);
+        replica_t *replica = replica_new(0);
         std::map<std::string, std::string> seen, last;
         std::map<std::string, uint64_t> at;
         std::vector<std::pair<std::string, uint64_t>> all;
@@ -227,11 +227,12 @@
             last[all.back().first] = rev % 4 == 0 ? "" : std::to_string(rev);
             at[all.back().first] = rev;
         }
-        for (int i = 0; i < 200 || replica_revision(mine) < 30; i++) {
+        for (int i = 0; i < 200 || replica_revision(replica) < 30; i++) {
             uint32_t from = rng_below(&rng, 30);
             uint32_t to = from + 1 + rng_below(&rng, 30 - from);
-            if (from > replica_revision(mine)) {
-                continue; /* a source answers from the asker's revision on */
+            if (from > replica_revision(replica)) {
+                continue; /* a source answers from the follower_address's
+                             revision on */
             }
             Items items(to);
             for (uint32_t k = from; k < to; k++) {
@@ -241,7 +242,7 @@
                           all[k].second);
             }
             store_items_t changed;
-            ASSERT_EQ(replica_merge(mine, 0, &items.s, &changed), 0);
+            ASSERT_EQ(replica_merge(replica, 0, &items.s, &changed), 0);
             for (size_t k = 0; k < changed.n; k++) {
                 seen[changed.item[k].key] =
                     changed.item[k].value ? changed.item[k].value : "";
@@ -249,7 +250,7 @@
             store_items_free(&changed);
         }
         EXPECT_EQ(seen, last);
-        replica_free(mine);
+        replica_free(replica);
     }
 }
 
@@ -286,8 +287,8 @@
 
     /* Takes what FROM tells it; the length of the text, or the error. */
     int
-    ask(replica_t *from, bool differences,
-        std::map<std::string, std::string> *got)
+    poll(replica_t *from, bool differences,
+         std::map<std::string, std::string> *got)
     {
         char *t =
             replica_text(from, 1000, replica_revision(r), 0, differences);
@@ -319,15 +320,15 @@
     for (int version : {1, 2}) {
         Peer peer(version, 8 + 2 * (uint64_t)version);
         got.clear();
-        int len = peer.ask(r, true, &got);
+        int len = peer.poll(r, true, &got);
         EXPECT_GT(len, 0);
         EXPECT_LT(len, 1000);
         EXPECT_EQ(got["conf"], long_value(3));
     }
 }
 
-/* Guards against: a difference to a version that the asker doesn't have, since
- * this instance has never seen the asker's. */
+/* Guards against: a difference to a version that the follower_address doesn't
+ * have, since this instance has never seen the follower_address's. */
 TEST_F(Replica, ADifferenceThatDoesNotFitTakesNothing)
 {
     std::map<std::string, std::string> got;
@@ -335,53 +336,54 @@
 
     merge(Items(10, true).add("conf", long_value(1).c_str(), 10));
     merge(Items(14).add("conf", long_value(3).c_str(), 14).add("b", "1", 13));
-    EXPECT_EQ(peer.ask(r, true, &got), -ESTALE);
+    EXPECT_EQ(peer.poll(r, true, &got), -ESTALE);
     EXPECT_EQ(replica_revision(peer.r), 12u);
-    EXPECT_GT(peer.ask(r, false, &got), 0);
+    EXPECT_GT(peer.poll(r, false, &got), 0);
     EXPECT_EQ(got["conf"], long_value(3));
     EXPECT_EQ(got["b"], "1");
 }
 
 /* Dozens of peers ask the same at the same moment.  One answer serves them all
- * as long as nothing in it is wrong for the asker. */
+ * as long as nothing in it is wrong for the follower_address. */
 TEST(Answers, OneServesThoseThatAskTheSameAtOnce)
 {
-    const question_t kept = {
+    const answer_query_t kept = {
         .packed = true, .whole = false, .after = 7, .revision = 9};
-    question_t asked = kept;
+    answer_query_t asked = kept;
 
-    EXPECT_TRUE(answer_serves(&kept, 0, &asked));
-    EXPECT_TRUE(answer_serves(&kept, 100, &asked));
-    EXPECT_FALSE(answer_serves(&kept, 101, &asked)); /* older than it says */
+    EXPECT_TRUE(answer_is_reusable(&kept, 0, &asked));
+    EXPECT_TRUE(answer_is_reusable(&kept, 100, &asked));
+    EXPECT_FALSE(
+        answer_is_reusable(&kept, 101, &asked)); /* older than it says */
     asked.after = 8;
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
     asked.revision = 10; /* there is more by now */
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
     asked.packed = false;
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
     asked.differences = true;
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
     asked.whole = true;
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
 }
 
 /* Who knows nothing gets the whole of up to a second ago, and asks for what
  * has changed since.  Who knows more than that would learn nothing from it. */
 TEST(Answers, TheWholeServesForLonger)
 {
-    const question_t kept = {
+    const answer_query_t kept = {
         .packed = true, .whole = true, .after = 0, .revision = 9};
-    question_t asked = kept;
+    answer_query_t asked = kept;
 
     asked.revision = 12;
-    EXPECT_TRUE(answer_serves(&kept, 1000, &asked));
-    EXPECT_FALSE(answer_serves(&kept, 1001, &asked));
+    EXPECT_TRUE(answer_is_reusable(&kept, 1000, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 1001, &asked));
     asked.after = 8;
-    EXPECT_TRUE(answer_serves(&kept, 0, &asked));
+    EXPECT_TRUE(answer_is_reusable(&kept, 0, &asked));
     asked.after = 9;
-    EXPECT_FALSE(answer_serves(&kept, 0, &asked));
+    EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
 }
--- a/test/watch_test.cc
+++ b/test/watch_test.cc
@@ -12,19 +12,23 @@
 #include <unistd.h>
 
 /* Longest time between two answers of a peer, with what one may take. */
-static const ms_t PEER_MS = 900;
+static const ms_t PEER_CONFIRM_MS = 900;
 
-/* Guards against: an instance that takes what it knows for old although its
- * source is well, and reads the store itself, again and again. */
+/* Guards against: an instance that takes what it knows for old although
+ * source_timing source is well, and reads the store itself, again and again.
+ */
 TEST(Pace, InCalmNothingLooksOldWhateverTheLinks)
 {
     for (ms_t change_ms : {100, 3000, 4000, 5000, 6000, 60000}) {
         for (double mbps : {0.0, 0.1, 2.0, 10.0, 200.0, 1000.0}) {
             for (store_topic_t topic : {TOPIC_UPSTREAMS, TOPIC_OPERATOR}) {
-                watch_pace_t own = watch_pace(topic, change_ms, mbps);
+                watch_timing_t follower_timing =
+                    watch_timing(topic, change_ms, mbps);
                 for (double source : {0.0, 0.1, 2.0, 200.0}) {
-                    watch_pace_t its = watch_pace(topic, change_ms, source);
-                    EXPECT_GE(own.stale_ms, its.wait_ms + PEER_MS);
+                    watch_timing_t source_timing =
+                        watch_timing(topic, change_ms, source);
+                    EXPECT_GE(follower_timing.stale_ms,
+                              source_timing.wait_ms + PEER_CONFIRM_MS);
                 }
             }
         }
@@ -38,7 +42,7 @@
     const double BYTES = 460000; /* 350 kB as the store sends it */
 
     for (double mbps : {2.0, 10.0, 200.0}) {
-        watch_pace_t p = watch_pace(TOPIC_OPERATOR, 5000, mbps);
+        watch_timing_t p = watch_timing(TOPIC_OPERATOR, 5000, mbps);
         double read_ms = BYTES * 8 / (mbps * 1000);
         EXPECT_LT(p.stale_ms + read_ms, 5000) << mbps;
     }
@@ -48,14 +52,15 @@
  * ask the store without a pause. */
 TEST(Pace, ChangesThatAreDueSoonAreNotFollowedWithoutAPause)
 {
-    watch_pace_t p = watch_pace(TOPIC_UPSTREAMS, 100, 10);
+    watch_timing_t p = watch_timing(TOPIC_UPSTREAMS, 100, 10);
 
     EXPECT_GE(p.wait_ms, 1000);
-    EXPECT_GT(p.gather_ms, 0);
+    EXPECT_GT(p.coalesce_ms, 0);
 }
 
 /* Guards against: followers that leave a source over a slow link while it
- * receives what they wait for, and fill their own links with the same. */
+ * receives what they wait for, and fill their follower_timing links with the
+ * same. */
 TEST(Progress, AnAnswerThatArrivesKeepsAReplicaCurrent)
 {
     replica_t *r = replica_new(1000);
@@ -187,7 +192,7 @@
 }
 
 /* Guards against: a leader that the store turns away, and that looks current
- * to its followers because it is told so again and again. */
+ * to source_timing followers because it is told so again and again. */
 TEST_F(Watch, ARefusalOnTheWayKeepsNothingCurrent)
 {
     SlowStore store("429 Too Many Requests");
@@ -211,10 +216,10 @@
     replica_on_progress(t->replica[TOPIC_OPERATOR], clock_now());
     ASSERT_EQ(kern_add(t->kern, &spec), 0);
     ASSERT_EQ(kern_start(t->kern), 0);
-    for (int i = 0; i < 3000 && !SHARED(t, store_up); i++) {
+    for (int i = 0; i < 3000 && !ATOMIC_GET(t, store_up); i++) {
         usleep(10000);
     }
-    EXPECT_TRUE(SHARED(t, store_up));
+    EXPECT_TRUE(ATOMIC_GET(t, store_up));
     EXPECT_EQ(replica_revision(t->replica[TOPIC_OPERATOR]), 9u);
     EXPECT_EQ(kern_stop(t->kern, 10000), 0);
 }
