--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -1,22 +1,23 @@
-/* The announce duty: the instance's own announcement, by which peers find it.
+/* The announce duty: keeps the announcement by which peers discover this
+ * instance.
  *
- * Writes are paid for, so only a few instances of a data centre are announced,
- * under leases that outlive a restart: an instance that returns and finds its
+ * Writes are paid for, so only a few instances of a data centre are announced.
+ * Their leases outlive a restart: an instance that returns and finds its
  * announcement writes nothing. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 
-/* An announcement lapses so long after its instance died.  Until then peers
- * pass it over as one that doesn't answer. */
+/* Lease of an announcement, which expires this long after its instance died.
+ * Until then peers skip the instance as one that does not answer. */
 #define LEASE_MS 60000
 #define RENEW_MS 20000
-/* After a call that failed. */
+/* Pause after a failed call. */
 #define RETRY_MS 3000
 
 typedef struct {
     tagged_t *t;
-    uint64_t lease; /* 0: none of its own */
+    uint64_t lease; /* 0: no lease held */
 } announce_t;
 
 static ms_t
@@ -46,7 +47,7 @@
 {
     int rc = store_renew(a->t->writer, a->lease, e);
 
-    if (rc == -ENOENT) { /* it ended meanwhile: announced anew */
+    if (rc == -ENOENT) { /* the lease expired: register again */
         a->lease = 0;
     }
     return rc;
@@ -62,7 +63,7 @@
                           LEASE_MS, &a->lease, e);
 }
 
-/* What is due; returns how long to wait. */
+/* Renews or registers as due; returns the time until the next check. */
 static ms_t
 announce_once(announce_t *a)
 {
--- a/tagged/answers.c
+++ b/tagged/answers.c
@@ -1,37 +1,36 @@
-/* Answers with the replica, for peers.
+/* Answers to peers with the replica.
  *
- * Peers that start together, or hear of a change together, ask the same
- * question within moments.  Written for each of them, a list of thousands of
- * upstreams fills a small instance's link for half a second a peer, and of
- * hundreds of instances that start together the last ones know nothing for
- * many seconds.  So a long answer is written and packed once for all of them.
- */
+ * Peers that start together, or learn of a change together, send the same
+ * request within moments.  Written for each of them, a list of thousands of
+ * upstreams fills a small instance's link for half a second per peer, and when
+ * hundreds of instances start together the last ones have no data for many
+ * seconds.  A long answer is therefore written and compressed once for all. */
 #include "tagged/tagged.h"
 
 #include <stdlib.h>
 #include <string.h>
 #include <zstd.h>
 
-/* Shorter ones are not packed: they fit a few packets. */
+/* Shorter answers are not compressed: they fit a few packets. */
 #define PACK_BYTES 2048
-/* Speed goes before size: entries are alike, and even this packs them to about
- * a tenth. */
+/* Speed matters more than size: entries are alike, and even this level
+ * compresses them to about a tenth. */
 #define PACK_LEVEL 1
-/* Lifetimes of a kept answer, which tells them as its age: of the whole, for
- * those who know nothing and will ask for what has changed since; of changes,
- * for those who waited for them. */
+/* Lifetimes of a cached answer, which are included in its stated age: of the
+ * whole replica, for peers without data, which request the changes since; of
+ * changes, for peers that long-polled for them. */
 #define WHOLE_LIFETIME_MS 1000
 #define CHANGES_LIFETIME_MS 100
 
 typedef struct {
-    struct MHD_Response *response; /* NULL: none */
+    struct MHD_Response *response; /* NULL: empty */
     answer_query_t question[TOPICS];
     ms_t made_at;
 } cached_answer_t;
 
 struct answers {
     pthread_mutex_t lock;
-    cached_answer_t whole, changes; /* the last of each kind */
+    cached_answer_t whole, changes; /* the latest of each kind */
 };
 
 answers_t *
@@ -45,7 +44,8 @@
     return a;
 }
 
-/* TEXT (freed) packed, or NULL: it isn't worth it, or there is no memory. */
+/* Returns TEXT (freed) compressed, or NULL if it is too short or without
+ * memory. */
 static void *
 pack(char *text, size_t *len)
 {
@@ -99,7 +99,7 @@
                      kept->revision == asked->revision;
 }
 
-/* What is asked of each topic, as text.  NULL without memory. */
+/* Writes the requested part of each topic as text.  NULL without memory. */
 static char *
 write_topics(replica_t *const r[TOPICS], ms_t now, ms_t given_ms,
              const answer_query_t asked[TOPICS])
@@ -134,7 +134,8 @@
     return all;
 }
 
-/* The answer to what was ASKED; under LOCK. */
+/* Returns the response to ASKED, from the cache if possible; called with LOCK
+ * held. */
 static struct MHD_Response *
 cached_response(answers_t *a, replica_t *const r[TOPICS], ms_t now,
                 const answer_query_t asked[TOPICS])
--- a/tagged/check.c
+++ b/tagged/check.c
@@ -1,15 +1,18 @@
-/* The check duty: asks another peer than the followed one for anything newer.
+/* The check duty: polls another peer than the followed source for anything
+ * newer.
  *
- * The followed source may be cut off, frozen or turned away, and its silence
- * looks like calm.  Another's answer shows it within a second, at the cost of
- * one small exchange between instances, which the store never sees. */
+ * The followed source may be cut off, suspended or refused by the store, and
+ * its silence looks like the absence of changes.  Another peer's answer
+ * reveals this within a second, at the cost of one small exchange between
+ * instances and no call to the store. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 
-/* Until something is known: an instance that starts while the store is away,
- * or among many, gets it from a peer.  A peer that is only starting itself
- * answers when it knows something, or after START_ANSWER_MS. */
+/* Poll period and long-poll timeout while this instance has no data.  An
+ * instance that starts while the store is unavailable, or together with many
+ * others, gets the data from a peer.  A peer that is itself starting answers
+ * once it has data, or after START_ANSWER_MS. */
 #define START_POLL_MS 30
 #define START_ANSWER_MS 300
 
@@ -28,8 +31,8 @@
     return p;
 }
 
-/* When all start together, a peer that can't be reached may be up a moment
- * later: it is asked again. */
+/* Classifies the result of a poll.  When all instances start together, a peer
+ * that can't be reached may be up a moment later and is polled again. */
 static source_answer_t
 classify_answer(int rc, bool starting)
 {
@@ -57,7 +60,7 @@
         counter_add(&t->count.check_updates, 1);
         log_line(
             LVL_INFO, "check",
-            "News from a peer. peer=%s items=%d upstreams=%llu "
+            "Update from a peer. peer=%s items=%d upstreams=%llu "
             "operator=%llu",
             addr_text(&a, text), rc,
             (unsigned long long)replica_revision(t->replica[TOPIC_UPSTREAMS]),
--- a/tagged/daemon.c
+++ b/tagged/daemon.c
@@ -11,10 +11,10 @@
 #include <unistd.h>
 
 #define CHANGES_INBOX 64
-/* Quiet period after which nobody sends here any more: routers have noticed
- * that the instance isn't ready (two looks, half a second apart). */
+/* Time without packets after which the drain ends: routers have noticed by
+ * then that the instance isn't ready (two checks, half a second apart). */
 #define QUIET_MS 1500
-/* It ends by itself so long before the platform would kill it. */
+/* Margin by which the drain ends before the platform kills the process. */
 #define STOP_MARGIN_MS 800
 #define DRAIN_POLL_MS 100
 
@@ -107,7 +107,8 @@
     return 0;
 }
 
-/* Forwards on until no packet comes, or just before it would be killed. */
+/* Keeps forwarding until no packets arrive, or until just before the platform
+ * kills the process. */
 static void
 drain(tagged_t *t, duty_t *self)
 {
@@ -188,8 +189,8 @@
              s->data_centre, s->store_url, s->records);
     wait_for_signal(&t, signals);
     /* The duties are not joined: a call to the store may block for a second,
-     * in which the routers may still send packets here and get no other
-     * process in its place.  Packets are forwarded to the last moment. */
+     * during which routers may still send packets here and no other process
+     * receives them.  Packets are forwarded until the process exits. */
     log_line(LVL_INFO, "main", "Stopped.");
     log_close();
     _exit(EXIT_SUCCESS);
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -1,5 +1,5 @@
-/* The follow duty: chooses whom this instance follows (source/), and follows
- * the peer, or the store's topic of upstreams. */
+/* The follow duty: chooses the source of this instance (source/), and follows
+ * that peer, or the store's topic of upstreams. */
 #include "tagged/tagged.h"
 #include "conf/conf.h"
 
@@ -9,22 +9,23 @@
 
 /* Long-poll timeout between peers; an empty answer serves as heartbeat. */
 #define PEER_WAIT_MS 600
-/* Timeout of the list of announced instances, also of a slow store. */
+/* Timeout of the list of announced instances; allows for a slow store. */
 #define LIST_MS 1200
 
 typedef struct {
     tagged_t *t;
     duty_t *self;
     watch_t watch;     /* of the upstreams */
-    bool store_failed; /* the last try was the store's, and failed */
+    bool store_failed; /* the last source was the store, and the call failed */
     peer_client_t peer;
 } follow_t;
 
 /* ---- The store ---- */
 
-/* An instance that knows nothing leaves the list to its peers, which have it
- * packed.  When hundreds start together, even a page of it for each takes the
- * store's link for a second.  True: one of them told. */
+/* An instance without data waits for its peers first, which have the list
+ * compressed.  When hundreds of instances start together, even one page for
+ * each occupies the store's link for a second.  True: a peer has delivered it.
+ */
 static bool
 wait_for_peers(follow_t *f)
 {
@@ -41,8 +42,8 @@
     return tagged_has_replicas(f->t);
 }
 
-/* Who is announced, for the choice of a peer to ask; a seed reads the list
- * anyway. */
+/* Reads the announced instances, to choose a peer from.  A seed reads the
+ * whole list anyway. */
 static int
 list_peers(follow_t *f, err_t *e)
 {
@@ -64,7 +65,7 @@
     return rc;
 }
 
-/* This instance reads the store itself, or a peer. */
+/* Records whether this instance reads the store or a peer. */
 static void
 set_follows_store(follow_t *f, bool yes)
 {
@@ -74,7 +75,7 @@
     }
 }
 
-/* One call to the store; returns how long to pause before the next. */
+/* Makes one call to the store; returns the pause before the next. */
 static ms_t
 follow_store(follow_t *f)
 {
@@ -97,7 +98,7 @@
     return pause;
 }
 
-/* The peer has no place: another is to be asked. */
+/* Handles a redirect: the peer has no free follower slot. */
 static ms_t
 redirected(follow_t *f, const addr_t *a, const addr_t *redirect)
 {
@@ -113,8 +114,8 @@
     return rc < 0 ? watch_back_off(&f->watch) : 0;
 }
 
-/* One question to the peer at A.  One that doesn't answer, or leaves what is
- * known here old, is passed over. */
+/* Polls the peer at A once.  A peer that does not answer, or whose answer
+ * leaves the replica stale, counts as failed. */
 static ms_t
 follow_peer(follow_t *f, const addr_t *a, bool place)
 {
@@ -131,7 +132,7 @@
     if (rc == -EREMOTE) {
         return redirected(f, a, &redirect);
     }
-    if (rc == -ENOBUFS) { /* not the peer's fault */
+    if (rc == -ENOBUFS) { /* the local inbox is full: no failure of the peer */
         return watch_back_off(&f->watch);
     }
     updates_record_answer(f->t, a,
@@ -148,10 +149,10 @@
     return 0;
 }
 
-/* The peer to follow, or false: the store.  Old news mean that the leaders are
- * blind: the store is asked at once, and peers only where it can't be reached
- * from here.  Walking through peers first takes seconds when many are cut off.
- */
+/* Chooses the peer to follow; false: the store.  A stale replica means that
+ * the leaders are cut off: the store is read at once, and peers only if the
+ * store can't be reached from here.  Trying peers first takes seconds when
+ * many are cut off. */
 static bool
 pick_peer(follow_t *f, addr_t *a, bool *place)
 {
@@ -187,8 +188,8 @@
     return peer ? follow_peer(f, &a, place) : follow_store(f);
 }
 
-/* The settings file has changed.  What a running process can't change is
- * left as it is. */
+/* Applies the changed settings file.  Settings that a running process can't
+ * change keep their values. */
 static void
 reload(follow_t *f)
 {
@@ -200,7 +201,7 @@
     if (text == NULL ||
         tagged_settings_parse(&s, t->settings_file, text, &e) < 0) {
         log_line(LVL_ERROR, "follow",
-                 "The settings are not read: the old ones hold. peer=%s "
+                 "Settings not reloaded, previous ones in force. peer=%s "
                  "error=\"%s\"",
                  e.peer, e.text);
         free(text);
@@ -214,8 +215,7 @@
     }
     pthread_mutex_unlock(&t->follow_lock);
     log_line(LVL_INFO, "follow",
-             "The settings are read again. seeds=%u restart_needed=%s",
-             s.n_seeds,
+             "Settings reloaded. seeds=%u restart_needed=%s", s.n_seeds,
              addr_eq(&s.flow_addr, &t->settings.flow_addr) &&
                      strcmp(s.store_url, t->settings.store_url) == 0
                  ? "no"
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -1,4 +1,4 @@
-/* The packets duty: callers' packets in, decisions, packets out. */
+/* The packets duty: receives callers' packets, decides, and sends. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -6,40 +6,41 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define PACKET_BATCH 32 /* packets received in one call */
-#define BATCHES_MAX 8   /* batches before the rest has its turn */
-#define IDLE_MS 1000    /* the longest sleep */
-#define PUBLISH_MS 500  /* between two copies of the statistics */
-/* A sleep that lasted so much longer than asked for: the process stood still,
- * and callers' repetitions of that time say nothing about upstreams. */
+#define PACKET_BATCH 32 /* packets per recvmmsg() call */
+#define BATCHES_MAX 8   /* batches received before timers and probes run */
+#define IDLE_MS 1000    /* longest sleep */
+#define PUBLISH_MS 500  /* period of the copies of the statistics */
+/* Sleep overrun above which the process counts as suspended.  Callers'
+ * retransmissions from such a period are no evidence about upstreams. */
 #define PAUSE_MS 150
-/* Lines about single flows, a second; with bursts of as many.  A busy instance
- * opens some hundred flows a second; beyond, the metrics tell. */
+/* Log lines about single flows per second, and the burst size.  A busy
+ * instance opens some hundred flows a second; flows beyond the rate appear
+ * only in the metrics. */
 #define FLOW_LOG_RATE 200
 
-/* Packets that wait in the socket for the first routes are served when those
- * came so soon after the start; later, their callers have given up. */
+/* Packets in the socket buffer are served if the first routes arrive within
+ * this time after the start.  Later, their callers have given up. */
 #define START_BACKLOG_MS 1000
 
 typedef struct {
     tagged_t *t;
     flowset_t *flows;
-    bool serving; /* there are routes and upstreams: packets are read */
+    bool serving; /* routes and upstreams are available: packets are read */
     probes_t probes;
     ms_t now;
-    ms_t current_at; /* of the replica, as of the last look */
+    ms_t current_at; /* of the replica, when last read */
     ms_t publish_at;
-    double log_tokens; /* log lines that may be written now */
+    double log_tokens; /* token bucket of log lines */
     ms_t log_tokens_at;
     sender_t *sender;
     struct mmsghdr in[PACKET_BATCH];
     struct iovec in_iov[PACKET_BATCH];
     char stamp[PACKET_BATCH][UDP_STAMP_LEN];
     uint8_t data[PACKET_BATCH]
-                [PACKET_BYTES + 1]; /* one more: too long shows */
+                [PACKET_BYTES + 1]; /* one more, to detect oversized packets */
 } packets_t;
 
-/* ---- Log lines about flows, at a bounded rate ---- */
+/* ---- Rate-limited log lines about flows ---- */
 
 static bool
 log_allowed(packets_t *p)
@@ -63,7 +64,7 @@
 {
     char caller[ADDR_STRLEN], service[ADDR_STRLEN], to[ADDR_STRLEN];
 
-    /* A flow's later packets follow its opening: not a decision each. */
+    /* Later packets of a flow follow its tag and need no decision. */
     if (d->reason == FLOW_BY_TAG || !log_allowed(p)) {
         return;
     }
@@ -144,7 +145,7 @@
              (unsigned long long)out->limit.refused);
 }
 
-/* ---- What the flows ask for ---- */
+/* ---- Output of the flow set ---- */
 
 static void
 emit(void *arg, const flow_out_t *out)
@@ -213,7 +214,7 @@
     int rc = flowset_set_upstream(p->flows, p->now, u);
 
     if (first && rc == 0) {
-        return; /* a line for all of them is enough */
+        return; /* logged once for the whole list */
     }
     log_line(rc < 0 ? LVL_ERROR : LVL_INFO, "upstreams",
              "Announced. upstream=%llx addr=%s service=%s data_centre=%s "
@@ -221,7 +222,7 @@
              (unsigned long long)u->id, addr_text(&u->addr, addr), u->service,
              u->data_centre, u->draining ? "draining" : "ready",
              (long long)u->warm_up_ms, (unsigned long long)ev->revision,
-             rc < 0 ? " error=\"out of memory: it isn't used\"" : "");
+             rc < 0 ? " error=\"out of memory, upstream ignored\"" : "");
 }
 
 static void
@@ -236,7 +237,8 @@
                  "Not %s. data_centre=%s revision=%llu error=\"%s\"",
                  evacuated ? "begun" : "ended", data_centre,
                  (unsigned long long)ev->revision,
-                 rc == -ENOSPC ? "too many are under way" : "out of memory");
+                 rc == -ENOSPC ? "too many evacuations in progress"
+                               : "out of memory");
         return;
     }
     log_line(LVL_INFO, "evacuation",
@@ -273,9 +275,10 @@
     }
 }
 
-/* The first routes and upstreams are known.  Until now packets were left in
- * the socket: a reset for want of a route would have been false, and would
- * have used up the callers' retries just when all instances return. */
+/* Starts to serve when the first routes and upstreams are available.  Until
+ * then packets stay in the socket buffer: a reset for a missing route would be
+ * wrong, and would use up the callers' retries just when all instances
+ * restart. */
 static void
 start_serving(packets_t *p)
 {
@@ -301,7 +304,7 @@
     if (c->first) {
         const flow_stats_t *s = flowset_stats(p->flows);
         log_line(LVL_INFO, "upstreams",
-                 "The first list. upstreams=%u usable=%u routes=%u",
+                 "Initial list. upstreams=%u usable=%u routes=%u",
                  s->upstreams, s->usable, s->routes);
     }
     if (!p->serving && flowset_ready(p->flows)) {
@@ -309,10 +312,11 @@
     }
 }
 
-/* What is new, in the order in which it became known.  An evacuation ends when
- * the upstreams are known as of then; the revision is read before the messages
- * are, so that it promises none that is yet to come.  Whoever holds the lock
- * may be decoding a long configuration: packets don't wait for that. */
+/* Applies updates in order of arrival.  An evacuation ends once the upstreams
+ * are up to date as of its end.  The revision is read before the messages, so
+ * that it covers no message that is still to arrive.  The lock is only tried:
+ * its holder may be decoding a long configuration, and packets must not wait
+ * for that. */
 static void
 apply_updates(packets_t *p, duty_t *self)
 {
@@ -383,13 +387,14 @@
             struct msghdr *h = &p->in[i].msg_hdr;
             handle_packet(p, p->data[i], p->in[i].msg_len,
                           udp_age(h, real_now));
-            h->msg_controllen = sizeof(p->stamp[i]); /* for the next */
+            h->msg_controllen =
+                sizeof(p->stamp[i]); /* reset for the next call */
         }
-        sender_flush(p->sender); /* before the buffers are filled again */
+        sender_flush(p->sender); /* before the buffers are reused */
     }
 }
 
-/* Who opens flows at upstreams that warm up. */
+/* Updates the instances that may open flows at upstreams in warm-up. */
 static void
 update_warmers(packets_t *p)
 {
@@ -397,14 +402,14 @@
     uint32_t n;
 
     if (pthread_mutex_trylock(&p->t->follow_lock) != 0) {
-        return; /* the next time */
+        return; /* retried at the next call */
     }
     n = sources_local(&p->t->sources, &self, warmer, WARMERS_MAX);
     pthread_mutex_unlock(&p->t->follow_lock);
     flowset_set_warmers(p->flows, self, warmer, n);
 }
 
-/* Facts from and for other duties. */
+/* Exchanges state with other duties. */
 static void
 publish(packets_t *p)
 {
@@ -454,7 +459,7 @@
     size_t n;
     ms_t wait, before = p->now, slept;
 
-    /* A negative descriptor is passed over. */
+    /* poll() ignores a negative descriptor. */
     fds[1] = (struct pollfd){.fd = p->serving ? p->t->flow_fd : -1,
                              .events = POLLIN};
     n = 2 + probes_poll(&p->probes, fds + 2, &next);
@@ -478,7 +483,7 @@
     ms_t next = 0, paced;
 
     if (!open_flows(&p, tagged)) {
-        log_line(LVL_ERROR, "packets", "Out of memory: no flow is served.");
+        log_line(LVL_ERROR, "packets", "Out of memory, no flows are served.");
         return;
     }
     p.now = clock_now();
--- a/tagged/probes.c
+++ b/tagged/probes.c
@@ -1,6 +1,6 @@
 /* Probes: a TCP connection that is opened and closed.  The upstream's kernel
- * answers it, so it tells a process that has ended from one that is slow, and
- * takes none of the upstream's slots. */
+ * answers the probe, which distinguishes a process that has ended from a slow
+ * one and occupies none of the upstream's slots. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -88,13 +88,13 @@
     case ENOBUFS:
     case ENOMEM:
     case EADDRNOTAVAIL:
-        return PROBE_NONE; /* this instance's own trouble */
+        return PROBE_NONE; /* a local resource limit */
     default:
         return PROBE_SILENT;
     }
 }
 
-/* True when the probe has ended, with *FAILURE. */
+/* True if the probe has ended; *FAILURE receives its errno, 0 for success. */
 static bool
 has_ended(const probe_t *q, ms_t now, int *failure)
 {
@@ -118,7 +118,8 @@
 void
 probes_check(probes_t *p, probe_done_t *done, void *arg)
 {
-    ms_t now = clock_now(); /* before it looks whether they were answered */
+    ms_t now = clock_now(); /* before the poll: a probe answered by its
+                               deadline counts as answered */
     int failure;
 
     for (size_t i = 0; i < p->n; i++) {
@@ -129,7 +130,7 @@
         if (q.fd >= 0) {
             close(q.fd);
         }
-        p->probe[i].upstream = 0; /* DONE may start another */
+        p->probe[i].upstream = 0; /* DONE may start another probe */
         done(arg, q.upstream, result_of(failure));
     }
     while (p->n > 0 && p->probe[p->n - 1].upstream == 0) {
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -1,24 +1,24 @@
-/* The replica: the store's items as last seen, sorted by key.  It serves
- * peers, which follow this instance, or catch up while the store turns them
- * away.  What has been removed is kept for a while, so that a peer that is a
- * little behind gets only what has changed. */
+/* The replica: the store's items as last read, sorted by key.  It serves peers
+ * that follow this instance, or that catch up while the store refuses them.
+ * Removed items are kept for a while, so that a peer that is slightly behind
+ * receives only the changes. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Removed items kept; a peer that misses more gets the whole. */
+/* Removed items kept; a peer that misses more receives the whole replica. */
 #define REMOVED_MAX 256
 
 struct replica {
     pthread_mutex_t lock;
-    store_items_t items; /* sorted by key; a removed one has no value */
+    store_items_t items; /* sorted by key; value is NULL if removed */
     size_t n_removed;
-    uint64_t complete_after; /* changes after it are complete */
+    uint64_t complete_after; /* changes after this revision are complete */
     prev_values_t prev_values;
     /* Read without the lock, which is held while long values are compared. */
-    uint64_t revision; /* that of ITEMS */
+    uint64_t revision; /* same as items.revision */
     ms_t current_at;
 };
 
@@ -45,7 +45,7 @@
     }
 }
 
-/* Where KEY is, or belongs. */
+/* Returns the position of KEY, or its insertion point. */
 static size_t
 find_position(const store_items_t *s, const char *key, bool *found)
 {
@@ -100,9 +100,9 @@
     return 0;
 }
 
-/* Takes NEW_ if it is newer than what there is; then it goes into CHANGED too.
- * Up to revision KNOWN the replica is complete: what isn't there has been
- * removed, and a source that is behind must not bring it back. */
+/* Stores NEW_ if it is newer than the present item, and adds it to CHANGED.
+ * The replica is complete up to revision KNOWN: a key that is missing here was
+ * removed by then, and a source that lags behind must not restore it. */
 static int
 put_item(replica_t *r, const store_item_t *new_, uint64_t known,
          store_items_t *changed)
@@ -133,7 +133,7 @@
     return (x > y) - (x < y);
 }
 
-/* Forgets the older half of what has been removed. */
+/* Drops the older half of the removed items. */
 static void
 prune_removed(replica_t *r)
 {
@@ -159,7 +159,7 @@
     r->complete_after = limit > r->complete_after ? limit : r->complete_after;
 }
 
-/* What is there and not in ITEMS, which is all there is, has been removed. */
+/* Marks items missing from ITEMS, a whole list, as removed. */
 static int
 remove_missing(replica_t *r, const store_items_t *items,
                store_items_t *changed)
@@ -189,7 +189,7 @@
     return rc;
 }
 
-/* Makes a value of ITEM's difference, unless what is here is as new. */
+/* Expands ITEM's delta to its value, unless the stored item is as new. */
 static int
 expand_delta(const replica_t *r, store_item_t *item)
 {
@@ -242,11 +242,11 @@
     if (rc == 0 && items->revision > r->items.revision) {
         if (r->items.revision == 0) {
             r->complete_after =
-                items->revision; /* removals before aren't known */
+                items->revision; /* earlier removals are unknown */
         }
         r->items.revision = items->revision;
     }
-    /* A source that knows less than is known here was not current. */
+    /* A source at an older revision was not current. */
     if (rc == 0 && items->revision >= r->items.revision &&
         now - items->age > r->current_at) {
         __atomic_store_n(&r->current_at, now - items->age, __ATOMIC_RELAXED);
@@ -298,7 +298,8 @@
     pthread_mutex_unlock(&r->lock);
 }
 
-/* The items of R that are newer than AFTER, or all; copies of pointers. */
+/* Selects the items of R that are newer than AFTER, or all; copies pointers
+ * only. */
 static void
 select_items(const replica_t *r, uint64_t after, store_items_t *out)
 {
@@ -310,8 +311,8 @@
     }
 }
 
-/* Replaces values in OUT by differences (heap) to what a peer has that knows
- * all up to AFTER. */
+/* Replaces values in OUT by deltas (on the heap) to the values held by a peer
+ * that has all changes up to AFTER. */
 static void
 select_deltas(const replica_t *r, uint64_t after, store_items_t *out)
 {
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -1,4 +1,4 @@
-/* Packets out: in batches, paced to the instance's link (flow/pacer.c). */
+/* Sends packets in batches, paced to the instance's link (flow/pacer.c). */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -6,13 +6,13 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define PACKET_BATCH 32 /* packets sent in one call */
+#define PACKET_BATCH 32 /* packets per sendmmsg() call */
 /* UDP and IPv4 headers. */
 #define NET_HEAD_BYTES 28
-/* Between two log lines about a full queue. */
+/* Minimum interval between log lines about a full queue. */
 #define FULL_LINE_MS 1000
 
-/* A packet that waits for the link. */
+/* A packet queued for the link. */
 typedef struct {
     paced_t paced;
     addr_t to;
@@ -78,8 +78,8 @@
             if (errno == EINTR) {
                 continue;
             }
-            /* Full or refused: lost, as in any network; its sender repeats
-             * it. */
+            /* Buffer full or packet refused: lost, as in any network; the
+             * sender retransmits it. */
             counter_add(&s->t->count.send_failed, 1);
             n = 1;
         }
@@ -136,7 +136,7 @@
     h->msg_iovlen = 1;
 }
 
-/* ---- Packets that wait for the link ---- */
+/* ---- Queued packets ---- */
 
 static queued_packet_t *
 queued_of(paced_t *w)
@@ -144,7 +144,8 @@
     return w != NULL ? LIST_OWNER(w, queued_packet_t, paced) : NULL;
 }
 
-/* A free place, or that of a packet of the flow that has most waiting. */
+/* Returns a free entry, or that of a packet of the flow with most packets
+ * queued. */
 static queued_packet_t *
 make_room(sender_t *s, ms_t now)
 {
@@ -220,7 +221,7 @@
     while ((w = pacer_pop(s->pacer, now)) != NULL) {
         queued_packet_t *q = queued_of(w);
         send_upstream(s, q->data, q->len, &q->to, q->upstream);
-        list_append(&s->free_list, &w->link); /* not used before the flush */
+        list_append(&s->free_list, &w->link); /* not reused before the flush */
     }
     sender_flush(s);
     return pacer_due(s->pacer);
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -10,12 +10,13 @@
 
 #define CONNECTIONS_MAX 256
 #define IDLE_S 10
-/* Peers that wait for changes at a time; more are answered at once. */
+/* Limit of suspended requests; further ones are answered at once. */
 #define WAITING_MAX 128
 #define WAIT_MAX_MS 10000
-/* One that waits is told that nothing has changed as soon as this instance has
- * heard so: its own followers wait for that, and ages would add up along the
- * way to more than what counts as old.  Smaller steps aren't passed on. */
+/* Step of the replica's confirmation at which a suspended request is answered
+ * without a change.  The peer's own followers wait for the confirmation, and
+ * ages would otherwise add up along the path to a stale replica.  Smaller
+ * steps are not passed on. */
 #define CONFIRM_MS 300
 #define STACK_BYTES (128 * 1024)
 
@@ -32,17 +33,18 @@
                       TEXT, strdup(ready ? "ready\n" : "not ready\n"));
 }
 
-/* ---- Peers that wait for changes ---- */
+/* ---- Long polls of peers ---- */
 
 typedef struct {
-    struct MHD_Connection *c; /* NULL: a free slot */
+    struct MHD_Connection *c; /* NULL: free slot */
     uint64_t after[TOPICS];
-    ms_t current_at[TOPICS]; /* of the replicas, as it began to wait */
+    ms_t current_at[TOPICS]; /* of the replicas, when the request was suspended
+                              */
     ms_t deadline;
 } waiting_request_t;
 
-/* Under LOCK: requests come on the HTTP thread, changes and time on the
- * duty's. */
+/* Guarded by LOCK: requests come on the HTTP thread, changes and timeouts on
+ * the duty's. */
 static struct {
     pthread_mutex_t lock;
     waiting_request_t slot[WAITING_MAX];
@@ -73,7 +75,7 @@
     return suspended;
 }
 
-/* There is has_updates of a topic, or a confirmation that there is none. */
+/* True if a topic has an update, or a confirmation that there is none. */
 static bool
 has_update(const waiting_request_t *w, const uint64_t revision[TOPICS],
            const ms_t current_at[TOPICS])
@@ -87,7 +89,8 @@
     return false;
 }
 
-/* Lets go on whose wait is over; returns how long deadline the next is. */
+/* Resumes requests that can be answered or timed out; returns the time until
+ * the next timeout. */
 static ms_t
 resume_requests(tagged_t *t, bool all)
 {
@@ -118,7 +121,8 @@
     return next;
 }
 
-/* Has FROM a slot, or does it get one? */
+/* True if FROM has, or now gets, a follower slot; else *REDIRECT is the
+ * follower to poll. */
 static bool
 admit_follower(tagged_t *t, const addr_t *from, addr_t *redirect)
 {
@@ -158,7 +162,7 @@
     return s != NULL ? strtoull(s, NULL, 10) : 0;
 }
 
-/* The follower that asks; false: it is no follower. */
+/* Reads the follower's address; false: the request is not a follower's. */
 static bool
 follower_address(struct MHD_Connection *c, addr_t *from)
 {
@@ -167,8 +171,8 @@
     return s != NULL && addr_parse(from, s) == 0;
 }
 
-/* The revisions that the follower_address has; "after" stands for all topics.
- */
+/* Reads the revisions that the peer has; "after" stands for all topics. True
+ * if the replica is newer. */
 static bool
 read_after(struct MHD_Connection *c, const tagged_t *t, uint64_t after[TOPICS])
 {
@@ -236,7 +240,7 @@
            const char *method, const char *version, const char *body,
            size_t *body_len, void **state)
 {
-    static int routed; /* the state of a request that has been */
+    static int routed; /* the state of a request that has been routed before */
     bool waited = *state == &routed;
 
     (void)version;
@@ -272,7 +276,7 @@
         (size_t)STACK_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1,
         MHD_OPTION_END);
     if (http == NULL) {
-        log_line(LVL_ERROR, "serve", "It can't listen. peer=%s error=\"%s\"",
+        log_line(LVL_ERROR, "serve", "Can't listen. peer=%s error=\"%s\"",
                  addr_text(a, text), strerror(errno));
     }
     return http;
@@ -292,7 +296,8 @@
     while (!duty_stopping(self)) {
         duty_wait(self, NULL, 0, resume_requests(t, false));
     }
-    resume_requests(t, true); /* none may be suspended at the end */
+    resume_requests(
+        t, true); /* MHD_stop_daemon() requires that none is suspended */
     if (ready != NULL) {
         MHD_stop_daemon(ready);
     }
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -1,4 +1,4 @@
-/* News: items on their way from the store or a peer to the packets duty. */
+/* Updates: items on their way from the store or a peer to the packets duty. */
 #include "tagged/tagged.h"
 #include "plat/http.h"
 
@@ -6,18 +6,17 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Timeout of a peer's answer beyond the long poll: a peer is a few
- * milliseconds away, and one that takes longer is down, or no better than the
- * store. */
+/* Timeout of a peer's answer beyond the long poll.  A peer is a few
+ * milliseconds away; a slower one is down, or no better than the store. */
 #define PEER_SLACK_MS 400
-/* Connect timeout at the start: a peer that is down answers nothing, and there
- * are others. */
+/* Connect timeout at the start: a peer that is down does not answer, and other
+ * peers are available. */
 #define START_CONNECT_MS 120
 /* Stall timeout of an answer that has begun. */
 #define PEER_STALL_MS 600
-/* The whole replica shares its sender's link with others' answers, and asking
- * anew only sends it again: each late answer doubles the timeout, up to this
- * shift. */
+/* Limit of the timeout's doublings.  The whole replica shares the sender's
+ * link with other answers, and a repeated request only transfers it again, so
+ * each late answer doubles the timeout, up to this shift. */
 #define LATE_MAX 3
 
 void
@@ -95,9 +94,10 @@
     return rc;
 }
 
-/* Whatever is new would be lost: packets has no room, and what the replica
- * holds is told by nobody again.  Only updates_apply() sends to packets, one
- * thread at a time, so that room that is there now stays. */
+/* True if the inbox of packets has no room for an update.  A merged update
+ * would be lost then, since no source sends again what the replica holds.
+ * Only updates_apply() posts to packets, one thread at a time, so free room
+ * stays free. */
 static bool
 defers_update(tagged_t *t, const store_items_t *items)
 {
@@ -139,8 +139,9 @@
     }
     pthread_mutex_unlock(&t->follow_lock);
     store_items_free(&changed);
-    if (n > 0 || ATOMIC_GET(t, waiting) > 0) { /* for news, or to hear that
-                                                * there are none */
+    if (n > 0 ||
+        ATOMIC_GET(t, waiting) > 0) { /* to answer with updates, or to confirm
+                                         that there are none */
         duty_wake(kern_find(t->kern, "serve"));
     }
     if (first && n > 0) { /* the list may have been left to peers */
@@ -157,7 +158,7 @@
     for (size_t i = 0; i < items->n; i++) {
         store_event_t ev;
         err_t e = {0};
-        /* An unreadable one is reported when the whole list is taken. */
+        /* Unreadable items are reported when the whole list is applied. */
         if (store_is_peer(&items->item[i]) &&
             store_event(&ev, &items->item[i], &e) == 0) {
             apply_peer(t, &ev);
@@ -196,8 +197,8 @@
     return c->http != NULL ? 0 : -ENOMEM;
 }
 
-/* Asks for what is newer; FROM names this instance as a follower, or is "".
- * The answer is the caller's to read. */
+/* Requests updates.  FROM is this instance's address as a follower, or "".
+ * The caller parses the answer. */
 static int
 request_updates(tagged_t *t, peer_client_t *c, const addr_t *a,
                 const char *from, ms_t wait_ms, http_reply_t *r, err_t *e)
@@ -234,8 +235,8 @@
     return rc;
 }
 
-/* Takes what a peer told of each topic; as updates_apply(), of the first topic
- * that fails, else the number of new items. */
+/* Applies a peer's updates of each topic.  Returns as updates_apply() for the
+ * first topic that fails, else the number of changed items. */
 static int
 apply_topics(tagged_t *t, store_items_t items[TOPICS], ms_t transfer_ms)
 {
@@ -243,7 +244,7 @@
 
     for (int i = 0; i < TOPICS; i++) {
         int taken = 0;
-        items[i].age += transfer_ms; /* told as of its first bytes */
+        items[i].age += transfer_ms; /* the age is as of the first byte */
         if (items[i].revision > 0) {
             taken = updates_apply(t, &items[i]);
         }
@@ -253,8 +254,7 @@
     return rc < 0 ? rc : n;
 }
 
-/* Takes the answer R, if RC says that there is one.  -ENODATA: the peer knows
- * nothing itself yet. */
+/* Applies the answer R if RC is 0.  -ENODATA: the peer has no data yet. */
 static int
 apply_reply(tagged_t *t, peer_client_t *c, int rc, const http_reply_t *r)
 {
--- a/tagged/value_delta.c
+++ b/tagged/value_delta.c
@@ -1,8 +1,8 @@
-/* Former values of long items, and differences to them.
+/* Previous values of long items, and deltas to them.
  *
- * The configuration may be hundreds of kilobytes and change by a line.  A peer
- * that has the value before gets the difference: whole, it would fill a slow
- * link for seconds with each version. */
+ * The configuration may have hundreds of kilobytes and change by a line.  A
+ * peer that has a previous value receives the delta: the full value would fill
+ * a slow link for seconds with each version. */
 #include "tagged/tagged.h"
 #include "plat/plat.h"
 
@@ -11,9 +11,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Shorter values are sent whole. */
+/* Shorter values are sent in full. */
 #define LONG_VALUE_BYTES 4096
-/* Former values together; one is kept however long it is. */
+/* Limit of all previous values together; one is kept whatever its length. */
 #define PREV_VALUES_BYTES (4u * 1024 * 1024)
 #define VALUE_MAX (8u * 1024 * 1024)
 
@@ -58,7 +58,8 @@
     }
     copy.key = strdup(item->key);
     copy.value = strdup(item->value);
-    if (copy.key == NULL || copy.value == NULL) { /* it is sent whole then */
+    if (copy.key == NULL ||
+        copy.value == NULL) { /* the value is then sent in full */
         free(copy.key);
         free(copy.value);
         return;
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -1,51 +1,54 @@
-/* A topic of the store, followed by its calls: a list at first, then watches.
- * Revisions are the store's and only grow, so a replica never goes back,
- * whoever tells what is new. */
+/* Follows a topic of the store: first a list, then watches.  Revisions come
+ * from the store and only grow, so a replica never goes back, whichever source
+ * delivers an update. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 #include <string.h>
 
-/* Shares of the time that a change may take.  Long-poll timeout of a watch:
- * its end confirms that nothing has changed, and shows a watch that the store
- * has forgotten. */
+/* Shares of the time within which a change must apply.
+ *
+ * Long-poll timeout of a watch.  Its end confirms that nothing has changed,
+ * and reveals a watch that the store has dropped. */
 #define WATCH_SHARE 0.5
-/* The same for the operator's topic, of which more time is needed to read. */
+/* The same for the operator's topic, which needs more time to be read. */
 #define WATCH_OPERATOR_SHARE 0.3
-/* Age at which what is known counts as old: the leaders may all be cut off
- * from the store.  The rest is for asking it, also when the last confirmation
- * was just before the change. */
+/* Age at which the replica counts as stale: all leaders may be cut off from
+ * the store.  The remaining time is for reading the store, even if the last
+ * confirmation came just before the change. */
 #define STALE_SHARE 0.83
-/* A long configuration, as it is read: that also takes of the rest. */
+/* Size of a long configuration as transferred, whose transfer also uses the
+ * remaining time. */
 #define LONG_CONFIG_BYTES (512 * 1024)
-#define DEFAULT_LINK_MBPS 10.0 /* of a link whose rate isn't told */
+#define DEFAULT_LINK_MBPS 10.0 /* assumed for a link without a set rate */
 #define READ_MARGIN_MS 500
 /* Pause after a change, before the next watch: changes come in series, and
- * each answer is a call that is paid for. */
+ * each answer is a paid call. */
 #define COALESCE_SHARE 0.067
-/* Changes that are due sooner are followed at the pace of this time. */
+/* Lower bound of the time that the shares refer to. */
 #define MIN_CHANGE_MS 3000
-/* Between a peer's answers, at the most (follow.c), and what one may take. */
+/* Longest time between a peer's answers (follow.c), including one answer's
+ * transfer. */
 #define PEER_CONFIRM_MS 900
 _Static_assert(WATCH_SHARE *MIN_CHANGE_MS + PEER_CONFIRM_MS <=
                    STALE_SHARE * MIN_CHANGE_MS,
-               "in calm nothing may look old");
-/* Timeout of a page of the list, also of a slow store. */
+               "a replica that is confirmed in time must not be stale");
+/* Timeout of a page of the list; allows for a slow store. */
 #define LIST_MS 1200
-/* Transfer time of an answer above which further versions may have come
- * meanwhile: a watch would bring each of them, a list only the newest. */
+/* Transfer time of an answer above which further versions may have appeared
+ * meanwhile: a watch would transfer each of them, a list only the newest. */
 #define SLOW_ANSWER_MS 150
-/* Period of the notes of an answer's progress. */
+/* Period of the progress reports of an answer. */
 #define PROGRESS_MS 300
-/* Backoff between calls that fail: exponential with jitter, so that instances
- * do not return all at once.  The upper bound is short of what a change may
- * take. */
+/* Backoff between failed calls: exponential with jitter, so that instances do
+ * not return all at once.  The upper bound is below the time within which a
+ * change must apply. */
 #define BACKOFF_MIN_MS 150
 #define BACKOFF_MAX_MS 1200
 
-/* While an answer arrives, this instance is not cut off from the store, and a
- * follower that read the store itself would wait as long: followers must not
- * leave a source that is at work over a slow link. */
+/* Keeps the replica current while an answer arrives: this instance is not cut
+ * off from the store, and a follower that read the store itself would wait as
+ * long. Followers must not leave a source that is reading over a slow link. */
 static void
 on_progress(void *watch)
 {
@@ -81,7 +84,8 @@
     if (p.stale_ms > ms - read_ms) {
         p.stale_ms = ms - read_ms;
     }
-    /* Whatever an instance's own link: its source's watch may last so long. */
+    /* Independent of this instance's link: its source's watch may take this
+     * long. */
     if (p.stale_ms < p.wait_ms + PEER_CONFIRM_MS) {
         p.stale_ms = p.wait_ms + PEER_CONFIRM_MS;
     }
@@ -131,7 +135,7 @@
     return w->backoff / 2 + rng_below(&w->rng, (uint32_t)(w->backoff / 2) + 1);
 }
 
-/* Logs when the store stops or starts to answer. */
+/* Logs when the store becomes available or unavailable. */
 static void
 record_store_state(watch_t *w, int rc, const err_t *e)
 {
@@ -161,7 +165,7 @@
 {
     int rc = updates_apply(w->t, items);
 
-    if (rc != -ENOBUFS) { /* else nothing was taken, and nothing lost */
+    if (rc != -ENOBUFS) { /* else nothing was merged and nothing lost */
         w->needs_resync = rc < 0;
     }
     store_items_free(items);
@@ -169,7 +173,7 @@
 }
 
 /* The operator's topic has few keys and long values: a list is shorter than a
- * watch that brings several versions of one. */
+ * watch that transfers several versions of one key. */
 static bool
 prefers_list(const watch_t *w)
 {
@@ -177,7 +181,7 @@
 }
 
 /* Applies an answer whose transfer took ITEMS' age.  Further versions may have
- * come during a slow one that brought a change. */
+ * appeared during a slow answer that brought a change. */
 static int
 apply_answer(watch_t *w, store_items_t *items)
 {
@@ -190,8 +194,8 @@
     return rc;
 }
 
-/* What is known of the configuration is confirmed, or replaced by the newest
- * version; the list alone would transfer it each time. */
+/* Confirms the configuration, or replaces it by the newest version.  A plain
+ * list would transfer it each time. */
 static int
 list_operator_topic(watch_t *w, err_t *e)
 {
@@ -229,7 +233,7 @@
             return rc;
         }
     }
-    items.age = clock_now() - begun; /* it is complete as of its first page */
+    items.age = clock_now() - begun; /* complete as of its first page */
     return apply_answer(w, &items);
 }
 
@@ -237,17 +241,20 @@
 watch(watch_t *w, err_t *e)
 {
     uint64_t after = revision(w);
-    /* What is old is confirmed or replaced at once, without a wait. */
+    /* A stale replica is confirmed or replaced at once, without a long poll.
+     */
     ms_t wait = watch_is_stale(w) ? 0 : w->timing.wait_ms;
     store_items_t items;
     int rc = store_watch(w->store, w->topic, after, wait, &items, e);
 
     if (rc == -ESTALE) {
-        log_line(LVL_WARN, "follow",
-                 "Store history lost, listing anew. topic=%s revision=%llu",
-                 store_topic_name(w->topic), (unsigned long long)after);
+        log_line(
+            LVL_WARN, "follow",
+            "Store history lost, reading the list. topic=%s revision=%llu",
+            store_topic_name(w->topic), (unsigned long long)after);
         w->needs_resync = true;
-        return 1; /* a change: the list can wait as long as any other */
+        return 1; /* counts as a change: the list follows after the same pause
+                   */
     }
     return rc < 0 ? rc : apply_answer(w, &items);
 }
@@ -268,7 +275,8 @@
     bool lists = w->needs_resync || revision(w) == 0;
     int rc = lists ? list(w, &e) : watch(w, &e);
 
-    if (rc == -ENOBUFS) { /* not the store's fault */
+    if (rc ==
+        -ENOBUFS) { /* the local inbox is full: no failure of the store */
         return watch_back_off(w);
     }
     if (rc < 0) {
@@ -281,9 +289,10 @@
 }
 
 /* The operator duty: follows the operator's topic at the store while this
- * instance reads the store, when the followed peers leave the topic old, and
- * after a failure until the store answers again: whoever follows peers
- * meanwhile would believe for ever that it is down. */
+ * instance reads the store, while the followed peers leave the topic stale,
+ * and after a failure until the store answers again.  Otherwise an instance
+ * that switched to peers after the failure would report the store as down for
+ * ever. */
 void
 operator_run(duty_t *self, void *tagged)
 {
@@ -297,8 +306,8 @@
         bool reads = ATOMIC_GET(t, follows_store) ||
                      !ATOMIC_GET(t, store_up) || pause == 0;
         if (reads) {
-            /* Peers told of the topic so far: a watch from what they told may
-             * bring several versions. */
+            /* Peers delivered the topic so far: a watch from their revision
+             * may transfer several versions. */
             w.needs_resync = w.needs_resync || !read;
             pause = watch_once(&w);
         }
