--- a/test/news_test.cc
+++ b/test/news_test.cc
@@ -1,5 +1,5 @@
-/* News on their way to the packets duty: what its inbox can't take stays new.
- */
+/* Updates on their way to the packets duty: those that its inbox can't take
+ * remain to be applied. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -37,7 +37,7 @@
         free(t);
     }
 
-    /* The upstream's announcement, and all the store holds up to REVISION. */
+    /* Applies the upstream's announcement as the store's state at REVISION. */
     int
     apply_upstream(uint64_t id, uint64_t revision)
     {
@@ -56,7 +56,7 @@
         return rc;
     }
 
-    /* The upstream that the next message announces; 0: there is none. */
+    /* Returns the upstream announced by the next message, or 0. */
     uint64_t
     next_upstream()
     {
@@ -74,10 +74,10 @@
 
 } // namespace
 
-/* The packets duty gets no processor time while news keep coming.  When its
- * inbox is full, an upstream's announcement must not be marked as known: no
- * source would ever tell it again, and callers would be sent to upstreams that
- * have left. */
+/* Guards against lost updates when the packets duty gets no processor time
+ * while updates keep arriving.  With its inbox full, an upstream's
+ * announcement must not be marked as applied: no source would send it again,
+ * and callers would be sent to upstreams that have left. */
 TEST_F(News, WhatTheInboxCantTakeIsTakenLater)
 {
     uint64_t id = 1, revision;
@@ -96,7 +96,8 @@
     EXPECT_EQ(next_upstream(), id);
 }
 
-/* Most answers only confirm that nothing has changed: they need no room. */
+/* Most answers only confirm that nothing has changed, and need no room in the
+ * inbox. */
 TEST_F(News, AConfirmationNeedsNoRoom)
 {
     uint64_t id = 1;
--- a/test/probes_test.cc
+++ b/test/probes_test.cc
@@ -1,4 +1,4 @@
-/* Probes: bare TCP connections to upstreams, against sockets on loopback. */
+/* Probes: TCP connections to upstreams, against sockets on loopback. */
 #include "tagged/tagged.h"
 
 #include <arpa/inet.h>
@@ -36,7 +36,7 @@
         return probes_start(&p, &out);
     }
 
-    /* Waits as the packets duty does, until all have ended. */
+    /* Polls as the packets duty does until all probes have ended. */
     void
     finish()
     {
@@ -69,7 +69,7 @@
 
 } // namespace
 
-/* The process need not accept: its kernel answers. */
+/* The kernel answers; the process need not accept. */
 TEST_F(Probes, AListenerAnswersThoughItsProcessIsBusy)
 {
     addr_t a;
@@ -92,9 +92,9 @@
     EXPECT_EQ(done[1], PROBE_REFUSED);
 }
 
-/* A server with too many connections accepts one more and resets it.  Its
- * process lives, and so do its flows: taken for a refusal, the reset would end
- * them all. */
+/* A server with too many connections accepts one more and resets it. The
+ * process is alive, and so are its flows: if the reset counted as a refusal,
+ * all of them would be ended. */
 TEST_F(Probes, AnAcceptedConnectionThatIsResetIsNoRefusal)
 {
     addr_t a;
@@ -111,8 +111,8 @@
     close(fd);
 }
 
-/* A listener whose queue is full drops what comes further, as a host that
- * can't be reached would. */
+/* A listener with a full queue drops further connections, as an unreachable
+ * host would. */
 TEST_F(Probes, AFullQueueIsSilent)
 {
     addr_t a;
@@ -126,8 +126,9 @@
     close(fd);
 }
 
-/* The caller's work took longer than the probe's time, as on a small instance
- * that takes a large configuration.  What was answered meanwhile counts. */
+/* The caller was busy for longer than the probe's timeout, as a small instance
+ * that reads a large configuration.  An answer that arrived meanwhile counts.
+ */
 TEST_F(Probes, ALateLookFindsTheAnswer)
 {
     addr_t a;
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -1,4 +1,4 @@
-/* The replica: what the store holds, merged from the store and from peers. */
+/* The replica: the store's items, merged from the store and from peers. */
 #include "tagged/tagged.h"
 
 #include <cstring>
@@ -39,7 +39,7 @@
         replica_free(r);
     }
 
-    /* The keys that were new, "-" before those removed. */
+    /* Returns the changed keys, removed ones with "-" in front. */
     std::string
     merge(const Items &items)
     {
@@ -55,7 +55,7 @@
         return out;
     }
 
-    /* What a peer that has everything up to AFTER gets. */
+    /* Returns the text sent to a peer that has all changes up to AFTER. */
     store_items_t
     text(uint64_t after)
     {
@@ -78,8 +78,8 @@
     EXPECT_EQ(replica_revision(r), 12u);
 }
 
-/* A peer is behind the store.  What it tells late must not undo what has been
- * seen since. */
+/* A peer may lag behind the store.  Its older items must not overwrite newer
+ * ones. */
 TEST_F(Replica, OlderNewsChangeNothing)
 {
     merge(Items(20, true).add("a", "new", 20));
@@ -88,8 +88,8 @@
     EXPECT_EQ(replica_revision(r), 20u);
 }
 
-/* The store lost its history, so the removal was never told: the list, which
- * lacks the key, tells it. */
+/* The store lost its history and the removal was never sent.  The list, which
+ * lacks the key, implies the removal. */
 TEST_F(Replica, AWholeListRemovesWhatItLacks)
 {
     merge(Items(10, true).add("a", "1", 5).add("b", "1", 6));
@@ -97,8 +97,8 @@
     EXPECT_EQ(merge(Items(30, true).add("a", "1", 5)), "");
 }
 
-/* A list is older than a change that came meanwhile from a peer: what it lacks
- * may have been made since. */
+/* A list may be older than a change received from a peer meanwhile: a key
+ * missing from the list may have been created since. */
 TEST_F(Replica, AnOldListRemovesNothing)
 {
     merge(Items(10, true).add("a", "1", 5));
@@ -132,8 +132,8 @@
     store_items_free(&out);
 }
 
-/* Removals are kept in a bounded number.  A peer that misses older ones gets
- * the whole, or it would keep what has gone. */
+/* A bounded number of removals is kept.  A peer that misses older ones
+ * receives the whole replica, or it would keep removed items. */
 TEST_F(Replica, ForgottenRemovalsMakeTheAnswerWhole)
 {
     merge(Items(10, true));
@@ -157,7 +157,7 @@
     Items items(10, true);
 
     now = 5000;
-    items.s.age = 3000; /* a peer's, which had it so long ago */
+    items.s.age = 3000; /* from a peer, confirmed that long ago */
     merge(items);
     EXPECT_EQ(replica_current_at(r), 2000);
     items.s.age = 9000;
@@ -165,10 +165,10 @@
     EXPECT_EQ(replica_current_at(r), 2000);
 }
 
-/* An instance starts, reads the store's list, and at the same time asks a peer
- * that is behind for everything.  The peer's answer comes last and names an
- * upstream that has been removed since: taken for new, it would be used for
- * ever, because nobody tells of its removal again. */
+/* An instance starts, reads the store's list, and at the same time polls a
+ * peer that lags behind.  The peer's answer arrives last and contains an
+ * upstream that has been removed since.  If merged, the upstream would be used
+ * for ever, because no source sends its removal again. */
 TEST_F(Replica, APeerThatIsBehindBringsNothingRemovedBack)
 {
     EXPECT_EQ(merge(Items(20, true).add("a", "1", 5)), "a ");
@@ -177,7 +177,7 @@
     EXPECT_EQ(merge(Items(22).add("new", "1", 21)), "new ");
 }
 
-/* An answer is kept for others that ask the same a little later. */
+/* A cached answer is sent to other peers a little later. */
 TEST_F(Replica, AnAnswerThatIsGivenLaterIsAsOldByThen)
 {
     char *t;
@@ -199,8 +199,8 @@
     EXPECT_FALSE(replica_is_behind(r, 12));
 }
 
-/* A source whose watch is dead believes that it is current.  That it knows
- * less shows that it isn't. */
+/* A source whose watch is dead counts itself as current.  Its older revision
+ * shows that it is not. */
 TEST_F(Replica, ASourceThatKnowsLessDoesNotConfirm)
 {
     merge(Items(20, true));
@@ -211,8 +211,8 @@
     EXPECT_EQ(replica_current_at(r), 9000);
 }
 
-/* Whatever order news come in, by whatever way, the last word of each key by
- * revision holds, and what was passed on adds up to it. */
+/* In whatever order and from whichever source updates arrive, the newest
+ * revision of each key wins, and the reported changes add up to that state. */
 TEST_F(Replica, AnyOrderEndsInTheSameState)
 {
     rng_t rng = {11, 0};
@@ -231,8 +231,7 @@
             uint32_t from = rng_below(&rng, 30);
             uint32_t to = from + 1 + rng_below(&rng, 30 - from);
             if (from > replica_revision(replica)) {
-                continue; /* a source answers from the follower_address's
-                             revision on */
+                continue; /* a source answers from the requested revision on */
             }
             Items items(to);
             for (uint32_t k = from; k < to; k++) {
@@ -256,7 +255,7 @@
 
 namespace {
 
-/* A configuration of some 30 kB, of which a line changes with each version. */
+/* A configuration of some 30 kB that changes by a line with each version. */
 std::string
 long_value(int version)
 {
@@ -267,7 +266,7 @@
     return s;
 }
 
-/* A peer of R that has everything up to REVISION. */
+/* A peer of R that has all changes up to REVISION. */
 struct Peer {
     replica_t *r = replica_new(1000);
 
@@ -285,7 +284,7 @@
         replica_free(r);
     }
 
-    /* Takes what FROM tells it; the length of the text, or the error. */
+    /* Merges the text from FROM; returns its length, or the error. */
     int
     poll(replica_t *from, bool differences,
          std::map<std::string, std::string> *got)
@@ -308,7 +307,7 @@
 
 } // namespace
 
-/* Guards against: a large configuration sent whole with each version, which
+/* Guards against: a large configuration sent in full with each version, which
  * fills a slow link for seconds. */
 TEST_F(Replica, ALongValueIsSentAsADifference)
 {
@@ -327,8 +326,8 @@
     }
 }
 
-/* Guards against: a difference to a version that the follower_address doesn't
- * have, since this instance has never seen the follower_address's. */
+/* Guards against: a delta to a version that the peer does not have, because
+ * this instance has never seen the peer's version. */
 TEST_F(Replica, ADifferenceThatDoesNotFitTakesNothing)
 {
     std::map<std::string, std::string> got;
@@ -343,8 +342,8 @@
     EXPECT_EQ(got["b"], "1");
 }
 
-/* Dozens of peers ask the same at the same moment.  One answer serves them all
- * as long as nothing in it is wrong for the follower_address. */
+/* Dozens of peers send the same request at the same moment.  One answer serves
+ * all of them as long as it is correct for each. */
 TEST(Answers, OneServesThoseThatAskTheSameAtOnce)
 {
     const answer_query_t kept = {
@@ -353,12 +352,12 @@
 
     EXPECT_TRUE(answer_is_reusable(&kept, 0, &asked));
     EXPECT_TRUE(answer_is_reusable(&kept, 100, &asked));
-    EXPECT_FALSE(
-        answer_is_reusable(&kept, 101, &asked)); /* older than it says */
+    EXPECT_FALSE(answer_is_reusable(&kept, 101,
+                                    &asked)); /* older than its stated age */
     asked.after = 8;
     EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
-    asked.revision = 10; /* there is more by now */
+    asked.revision = 10; /* newer changes exist */
     EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
     asked = kept;
     asked.packed = false;
@@ -371,8 +370,9 @@
     EXPECT_FALSE(answer_is_reusable(&kept, 0, &asked));
 }
 
-/* Who knows nothing gets the whole of up to a second ago, and asks for what
- * has changed since.  Who knows more than that would learn nothing from it. */
+/* A peer without data receives the whole replica as of up to a second ago, and
+ * then requests the changes since.  A peer that has that revision already
+ * would gain nothing from it. */
 TEST(Answers, TheWholeServesForLonger)
 {
     const answer_query_t kept = {
--- a/test/watch_test.cc
+++ b/test/watch_test.cc
@@ -1,6 +1,5 @@
-/* Following the store: the pace of the calls, and what peers tell of each
- * topic.
- */
+/* Following the store: the timing of the calls, and the updates from peers for
+ * each topic. */
 #include "tagged/tagged.h"
 
 #include <arpa/inet.h>
@@ -11,12 +10,11 @@
 #include <thread>
 #include <unistd.h>
 
-/* Longest time between two answers of a peer, with what one may take. */
+/* Longest time between two answers of a peer, including one transfer. */
 static const ms_t PEER_CONFIRM_MS = 900;
 
-/* Guards against: an instance that takes what it knows for old although
- * source_timing source is well, and reads the store itself, again and again.
- */
+/* Guards against: an instance that counts its replica as stale although its
+ * source is healthy, and repeatedly reads the store itself. */
 TEST(Pace, InCalmNothingLooksOldWhateverTheLinks)
 {
     for (ms_t change_ms : {100, 3000, 4000, 5000, 6000, 60000}) {
@@ -35,11 +33,11 @@
     }
 }
 
-/* Guards against: a change that nobody heard of in time because all leaders
- * were cut off silently, and too little time was left to read it. */
+/* Guards against: a change that arrives too late because all leaders were cut
+ * off silently, and too little time was left to read the configuration. */
 TEST(Pace, WhatIsLeftIsEnoughToReadALongConfiguration)
 {
-    const double BYTES = 460000; /* 350 kB as the store sends it */
+    const double BYTES = 460000; /* 350 kB as the store encodes it */
 
     for (double mbps : {2.0, 10.0, 200.0}) {
         watch_timing_t p = watch_timing(TOPIC_OPERATOR, 5000, mbps);
@@ -48,8 +46,8 @@
     }
 }
 
-/* Guards against: changes that are due within a second and make an instance
- * ask the store without a pause. */
+/* Guards against: a time limit of less than a second for changes, which makes
+ * an instance call the store without a pause. */
 TEST(Pace, ChangesThatAreDueSoonAreNotFollowedWithoutAPause)
 {
     watch_timing_t p = watch_timing(TOPIC_UPSTREAMS, 100, 10);
@@ -58,9 +56,8 @@
     EXPECT_GT(p.coalesce_ms, 0);
 }
 
-/* Guards against: followers that leave a source over a slow link while it
- * receives what they wait for, and fill their follower_timing links with the
- * same. */
+/* Guards against: followers that leave a source on a slow link while it
+ * receives the update, and fill their own links with the same transfer. */
 TEST(Progress, AnAnswerThatArrivesKeepsAReplicaCurrent)
 {
     replica_t *r = replica_new(1000);
@@ -81,8 +78,8 @@
 
 namespace {
 
-/* A store that begins an answer, sends it piece by piece, and never ends it.
- */
+/* A store that begins an answer, sends it byte by byte, and never completes
+ * it.  With a body, it sends that and closes. */
 class SlowStore {
   public:
     explicit SlowStore(const char *status_line = "200 OK",
@@ -121,7 +118,7 @@
         char buf[1024];
         int c = accept(fd, NULL, NULL);
         if (c < 0) {
-            return; /* nobody has asked */
+            return; /* no request was made */
         }
         EXPECT_GT(recv(c, buf, sizeof(buf), 0), 0);
         (void)!send(c, head.data(), head.size(), MSG_NOSIGNAL);
@@ -137,7 +134,7 @@
     std::thread thread;
 };
 
-/* An instance that knows revision 5 of each topic, as of time 1. */
+/* An instance with revision 5 of each topic, as of time 1. */
 class Watch : public ::testing::Test {
   protected:
     tagged_t *t = static_cast<tagged_t *>(calloc(1, sizeof(tagged_t)));
@@ -177,8 +174,8 @@
 
 } // namespace
 
-/* Guards against: followers that take a source for cut off while an answer of
- * the store arrives there over a slow link. */
+/* Guards against: followers that count a source as cut off while a store's
+ * answer arrives there over a slow link. */
 TEST_F(Watch, AnAnswerOnTheWayKeepsItsTopicCurrent)
 {
     SlowStore store;
@@ -186,13 +183,13 @@
 
     open(store.url);
     watch_once(&w);
-    EXPECT_TRUE(w.failed); /* the answer itself told nothing */
+    EXPECT_TRUE(w.failed); /* the answer was incomplete */
     EXPECT_GE(replica_current_at(t->replica[TOPIC_OPERATOR]), before);
     EXPECT_EQ(replica_current_at(t->replica[TOPIC_UPSTREAMS]), 1);
 }
 
-/* Guards against: a leader that the store turns away, and that looks current
- * to source_timing followers because it is told so again and again. */
+/* Guards against: a leader that the store refuses, and that looks current to
+ * its followers because refusals keep arriving. */
 TEST_F(Watch, ARefusalOnTheWayKeepsNothingCurrent)
 {
     SlowStore store("429 Too Many Requests");
@@ -203,8 +200,8 @@
     EXPECT_EQ(replica_current_at(t->replica[TOPIC_OPERATOR]), 1);
 }
 
-/* Guards against: an instance that follows peers after the store has failed
- * it, and tells for ever that the store is down. */
+/* Guards against: an instance that follows peers after the store has failed,
+ * and reports the store as down for ever. */
 TEST_F(Watch, AStoreThatHasFailedIsTriedUntilItAnswers)
 {
     SlowStore store("200 OK", "{\"items\":[],\"has_more\":false,"
@@ -212,7 +209,7 @@
     duty_spec_t spec = {"operator", operator_run, t, 4, false, NULL};
 
     open(store.url);
-    t->settings.apply_ms = 600000; /* nothing looks old */
+    t->settings.apply_ms = 600000; /* nothing becomes stale */
     replica_on_progress(t->replica[TOPIC_OPERATOR], clock_now());
     ASSERT_EQ(kern_add(t->kern, &spec), 0);
     ASSERT_EQ(kern_start(t->kern), 0);
@@ -224,8 +221,8 @@
     EXPECT_EQ(kern_stop(t->kern, 10000), 0);
 }
 
-/* Guards against: a watch that brings every version of a series after the
- * store was away, one after the other. */
+/* Guards against: a watch that transfers every version of a series, one after
+ * the other, after the store was unavailable. */
 TEST_F(Watch, AfterAFailureTheOperatorsTopicIsListed)
 {
     SlowStore store;
@@ -259,8 +256,8 @@
     free(both);
 }
 
-/* Guards against: a peer of another release, or an answer cut short, whose
- * half would be taken for all there is. */
+/* Guards against: a peer of another release, or a truncated answer, of which
+ * the one half would count as complete. */
 TEST(Topics, WithoutBothTheAnswerIsRefused)
 {
     store_items_t s[TOPICS];
