--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -171,7 +171,7 @@
     return s != NULL && addr_parse(from, s) == 0;
 }
 
-/* Reads the revisions that the peer has; "after" stands for all topics. True
+/* Reads the revisions that the peer has; "after" stands for all topics.  True
  * if the replica is newer. */
 static bool
 read_after(struct MHD_Connection *c, const tagged_t *t, uint64_t after[TOPICS])
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -48,7 +48,8 @@
 
 /* Keeps the replica current while an answer arrives: this instance is not cut
  * off from the store, and a follower that read the store itself would wait as
- * long. Followers must not leave a source that is reading over a slow link. */
+ * long.  Followers must not leave a source that is reading over a slow link.
+ */
 static void
 on_progress(void *watch)
 {
--- a/test/probes_test.cc
+++ b/test/probes_test.cc
@@ -92,7 +92,7 @@
     EXPECT_EQ(done[1], PROBE_REFUSED);
 }
 
-/* A server with too many connections accepts one more and resets it. The
+/* A server with too many connections accepts one more and resets it.  The
  * process is alive, and so are its flows: if the reset counted as a refusal,
  * all of them would be ended. */
 TEST_F(Probes, AnAcceptedConnectionThatIsResetIsNoRefusal)
--- a/test/tagged_bed.bash
+++ b/test/tagged_bed.bash
@@ -1,13 +1,13 @@
-# Shared by the scripted runs of tagged flows: the users' platform by its
-# stand-ins, and instances, servers and callers as separate processes.
+# Common functions of the scripted tests of tagged flows: stand-ins for the
+# users' platform, and instances, servers and callers as separate processes.
 # Sourced with the build directory as $1.
 set -u
 b=$(cd "$1" && pwd)
 expected=$(cd "$(dirname "$0")" && pwd)/expect/$(basename "$0" .sh).out
 dir=$(mktemp -d)
-# The callers' ports are the instances': an address of its own for each run.
+# Callers and instances use the same ports, so each run has its own addresses.
 net=127.$((40 + $$ % 150)).$(($$ / 150 % 250))
-store_port=$((20000 + $$ % 12000)) # below the ports of outgoing connections
+store_port=$((20000 + $$ % 12000)) # below the ephemeral ports
 store=http://127.0.0.1:$store_port
 declare -A process
 
@@ -38,7 +38,7 @@
     kill "-$2" "${process[$1]}" 2>/dev/null
 }
 
-ended() {               # NAME: waits, and keeps the status
+ended() {               # NAME: waits for its end; the status is in $rc
     wait "${process[$1]}"
     rc=$?
     unset "process[$1]"
@@ -57,15 +57,15 @@
     curl -s -m 3 "$store/calls" | tr -dc 0-9
 }
 
-lists() {               # of all that the store holds
+lists() {               # full lists that the store has served
     curl -s -m 3 "$store/lists" | tr -dc 0-9
 }
 
-pages() {               # behind the first of each list
+pages() {               # list pages served after the first ones
     curl -s -m 3 "$store/pages" | tr -dc 0-9
 }
 
-# Routes are pairs: three of them lead to service "feed" and "archive".
+# Three routes, to the services "feed" and "archive".
 configure() {           # VERSION [EXTRA-ROUTE-PORT]
     local extra=
     [ $# -lt 2 ] || extra=",{\"name\":\"r4\",\"host\":\"198.18.0.1\",\
@@ -119,7 +119,7 @@
         --route=198.18.0.2:8443,upload,2 --seconds="$seconds" "$@"
 }
 
-# Announces COUNT upstreams of "feed" that are entries of the store alone.
+# Announces COUNT upstreams of "feed" that exist as store entries only.
 entries() {             # COUNT
     local i puts= value
     for i in $(seq "$1"); do
@@ -136,18 +136,18 @@
     done
 }
 
-evacuate() {            # DATA-CENTRE: its evacuation begins
+evacuate() {            # DATA-CENTRE
     curl -s -m 3 -o /dev/null -X POST --data-binary "{\"precondition\":[],\
 \"puts\":[{\"key\":\"op/evacuate/$1\",\"value\":\"e30=\",\"lease\":0}],\
 \"remove\":[]}" "$store/api/kv-txn?as=platform"
 }
 
-readmit() {             # DATA-CENTRE: its evacuation ends
+readmit() {             # DATA-CENTRE: ends its evacuation
     curl -s -m 3 -o /dev/null -X POST --data-binary "{\"precondition\":[],\
 \"puts\":[],\"remove\":[\"op/evacuate/$1\"]}" "$store/api/kv-txn?as=platform"
 }
 
-until_quietly() {       # COMMAND...: each 50 ms, 30 s at most
+until_quietly() {       # COMMAND...: retries every 50 ms for up to 30 s
     for _ in $(seq 600); do
         "$@" >/dev/null 2>&1 && return 0
         sleep 0.05
@@ -179,25 +179,25 @@
     [ "$(metric "$1" "$2")" "$3" "$4" ]
 }
 
-# Requests that servers began more than once: of all, or of those that may run
-# once at most.
-twice() {
+# Counts requests that servers began more than once: of all requests, or of
+# those that may run at most once.
+count_repeated() {
     cat s*.log | awk '$1 == "run" {n[$2]++}
         END {for (q in n) m += n[q] > 1; print m + 0}'
 }
 
-twice_of_once() {
+count_repeated_once_only() {
     cat s*.log | awk '$1 == "run" && $2 !~ /^safe-/ {n[$2]++}
         END {for (q in n) m += n[q] > 1; print m + 0}'
 }
 
-# Requests that ran at a service where their route does not lead.
-misrouted() {
+# Counts requests that ran at another service than their route's.
+count_misrouted() {
     awk '$1 == "run" && $3 != ($2 ~ /^upload-/ ? "archive" : "feed") {m++}
         END {print m + 0}' s*.log
 }
 
-forged() {
+count_forged() {
     cat s*.log | grep -c -e '^forged' -e '^unasked'
 }
 
--- a/test/tagged_evacuate.sh
+++ b/test/tagged_evacuate.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # A data centre is evacuated while callers hold flows to it: its upstreams get
-# no new flow, open flows go on, and refusals are told at once.  The evacuation
-# reaches instances that start later, and ends where the store's history that
-# tells of its end is lost.
+# no new flows, open flows continue, and refusals are answered at once.  The
+# evacuation reaches instances that start later, and its end takes effect even
+# if the store has lost the history with that change.
 # usage: test/tagged_evacuate.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
@@ -15,25 +15,26 @@
     done
 }
 
-# Openings sent on to servers of a data centre so far; even ones are in dc-0.
-openings_to() {         # DATA-CENTRE
+# Counts openings forwarded to servers of a data centre; even numbers are in
+# dc-0.
+count_openings() {         # DATA-CENTRE
     cat i*.log | grep 'flow: Opening' | sed -n 's/.* to=[0-9.]*\.\([0-9]*\):.*/\1/p' |
         awk -v dc="${1#dc-}" '$1 % 2 == dc {n++} END {print n + 0}'
 }
 
-# No opening goes to DATA-CENTRE while callers open many.
-gets_nothing() {        # DATA-CENTRE
+# No flow is opened at DATA-CENTRE while callers open many.
+check_no_openings() {        # DATA-CENTRE
     local before after
-    before=$(openings_to "$1")
+    before=$(count_openings "$1")
     sleep 2
-    after=$(openings_to "$1")
+    after=$(count_openings "$1")
     echo "$1 gets $((after - before)) new flows"
 }
 
-gets_some() {           # DATA-CENTRE
+check_openings() {           # DATA-CENTRE
     local before
-    before=$(openings_to "$1")
-    more() { [ "$(openings_to "$1")" -gt "$before" ]; }
+    before=$(count_openings "$1")
+    more() { [ "$(count_openings "$1")" -gt "$before" ]; }
     until_true "$1 gets new flows" more "$1"
 }
 
@@ -55,13 +56,13 @@
         until_quietly metric_is $i upstreams_usable -eq 6
     done
     callers 30 2
-    gets_some dc-1
+    check_openings dc-1
 
     echo "## dc-1 is evacuated"
     evacuate dc-1
     evacuated_at 1 1 2
-    gets_nothing dc-1
-    gets_some dc-0
+    check_no_openings dc-1
+    check_openings dc-0
     grep -h -o 'evacuation: Begun. data_centre=dc-1 upstreams=3' i1.log
     curl -s -m 3 "http://$net.1:7002/status" | grep -o '"data_centres_evacuated": 1'
 
@@ -78,14 +79,14 @@
     switch forget=1
     readmit dc-1
     evacuated_at 0 1 2 3
-    gets_some dc-1
+    check_openings dc-1
 
     echo "## Ended and begun again at once"
     evacuate dc-0
     readmit dc-0
     evacuate dc-0
     evacuated_at 1 1 2 3
-    gets_nothing dc-0
+    check_no_openings dc-0
 
     echo "## A name without upstreams, and one that is none"
     evacuate dc-9
@@ -106,9 +107,9 @@
     echo "## What callers and servers saw"
     echo "mixed: $(sed -n 's/^total mixed=\([0-9]*\).*/\1/p' callers.log)"
     echo "reset while open: $(sed -n 's/^total.* resets=//p' callers.log)"
-    echo "run twice: $(twice_of_once)"
-    echo "run at another service: $(misrouted)"
-    echo "forged: $(forged)"
+    echo "run twice: $(count_repeated_once_only)"
+    echo "run at another service: $(count_misrouted)"
+    echo "forged: $(count_forged)"
     [ "$(total safe served)" -gt 300 ] && echo "hundreds of requests"
 }
 
--- a/test/tagged_herd.sh
+++ b/test/tagged_herd.sh
@@ -1,23 +1,24 @@
 #!/usr/bin/env bash
-# All instances start at once while the store holds thousands of upstreams.
-# Callers see new flows refused until an instance knows them; when each reads
-# all pages for itself, the store's link and calls are what they wait for.  A
-# seed reads the list, the others have it from peers, packed.
+# All instances start at once while the store has thousands of upstreams.
+# New flows are refused until an instance has the list.  If every instance read
+# all pages, the store's link and call rate would delay them.  Only seeds read
+# the list; the others receive it compressed from peers.
 # usage: test/tagged_herd.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
 instances=24
 upstreams=1200          # three pages of the store
-read_before=0
-listed_before=0
+pages_before=0
+lists_before=0
 
-# Instances that the store has: four of each data centre at least.
-announced_are() {       # NUMBER
+# True if the store has at least NUMBER announced instances; four of each data
+# centre are announced.
+announced_at_least() {       # NUMBER
     [ "$(curl -s -m 3 "$store/api/kv-range?prefix=s-instances/" |
         grep -o '"key"' | wc -l)" -ge "$1" ]
 }
 
-all_start() {
+start_all() {
     local n
     for n in $(seq $instances); do
         instance "$n"
@@ -29,18 +30,19 @@
     done
 }
 
-# READERS list everything, two pages behind the first each; one more may find
-# its peers late on a busy machine.  Each for itself: 24 and 48.
-few_pages() {           # READERS
+# READERS read the whole list, with two pages after the first each; one more
+# may, if its peers are late on a busy machine.  Without peers: 24 lists and 48
+# pages.
+check_list_reads() {           # READERS
     local n most=$((2 * ($1 + 1)))
     n=$(lists)
-    [ $((n - listed_before)) -le $(($1 + 1)) ] && echo "few lists" ||
-        echo "lists: $((n - listed_before)), expected at most $(($1 + 1))"
-    listed_before=$n
+    [ $((n - lists_before)) -le $(($1 + 1)) ] && echo "few lists" ||
+        echo "lists: $((n - lists_before)), expected at most $(($1 + 1))"
+    lists_before=$n
     n=$(pages)
-    [ $((n - read_before)) -le $most ] && echo "few pages" ||
-        echo "pages: $((n - read_before)), expected at most $most"
-    read_before=$n
+    [ $((n - pages_before)) -le $most ] && echo "few pages" ||
+        echo "pages: $((n - pages_before)), expected at most $most"
+    pages_before=$n
 }
 
 run() {
@@ -51,8 +53,8 @@
         settings "$n" dc-$((n % 2))
     done
 
-    # Asked for the page behind an empty one again and again, such a store
-    # would have thousands of calls a second.
+    # An instance that keeps requesting the page after an empty one would make
+    # thousands of calls a second.
     echo "## A list without an end"
     switch endless=1
     instance 1
@@ -65,21 +67,21 @@
     until_true "it is ready on a whole one" ready 1
     signal i1 TERM
     ended i1
-    read_before=$(pages)
-    listed_before=$(lists)
+    pages_before=$(pages)
+    lists_before=$(lists)
 
     echo "## All start: the seeds read on"
-    all_start
-    few_pages 2
-    until_quietly announced_are 8
+    start_all
+    check_list_reads 2
+    until_quietly announced_at_least 8
 
     echo "## All are killed, and start again: seeds and announced ones read on"
     for n in $(seq $instances); do
         signal "i$n" KILL
         ended "i$n" 2>/dev/null
     done
-    all_start
-    few_pages 10
+    start_all
+    check_list_reads 10
 
     echo "## A long answer is packed, and whole for one that takes no packed ones"
     curl -s -m 3 -H 'Accept-Encoding: zstd' -o packed \
--- a/test/tagged_late.sh
+++ b/test/tagged_late.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# An instance stands still with opening packets in its socket.  The callers'
-# copies open the flows through the other one; meanwhile servers die.  Awake,
-# the instance passes the old packets on, finds servers dead, and must not
-# reset what was opened elsewhere: callers of requests that may run once at
-# most would see them fail.
+# An instance is paused with opening packets in its socket.  The callers'
+# retransmissions open the flows through the other instance; meanwhile servers
+# die.  When resumed, the instance forwards the old packets, finds servers dead,
+# and must not reset flows that were opened elsewhere: callers would see
+# requests fail that may run at most once.
 # usage: test/tagged_late.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
-# Resets of open flows, but for those at servers that were killed: 2 and 4.
+# Counts resets of open flows, except at the killed servers 2 and 4.
 wrong_resets() {
     awk '$1 == "reset" && $3 != "5a0002" && $3 != "5a0004"' callers.log |
         wc -l
@@ -41,7 +41,7 @@
     ended callers
     grep -q 'waited_ms=[2-9][0-9][0-9]' i1.log && echo "it read old packets"
     echo "wrong resets: $(wrong_resets)"
-    echo "ran twice: $(twice_of_once)"
+    echo "ran twice: $(count_repeated_once_only)"
     for n in 1 2; do
         signal i$n TERM
         ended i$n
--- a/test/tagged_path.sh
+++ b/test/tagged_path.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path of tagged flows under planned changes: each instance is
-# restarted, servers drain and are replaced, versions follow one another.
-# Callers keep their flows open all the while and must notice nothing.
+# Tagged flows end to end under planned changes: each instance is restarted,
+# servers drain and are replaced, and versions are published in succession.
+# Callers keep their flows open throughout and must see no failure.
 # usage: test/tagged_path.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
@@ -31,7 +31,7 @@
         echo "$i ended: exit $rc"
         instance $i
         until_true "$i is ready" ready $i
-        sleep 1.2 # the routers have seen it
+        sleep 1.2 # until the routers have noticed
     done
 
     echo "## Two servers leave, two others come"
@@ -54,9 +54,9 @@
     echo "refused: $(total safe refused) $(total unsafe refused) $(total upload refused)"
     echo "mixed: $(sed -n 's/^total mixed=\([0-9]*\).*/\1/p' callers.log)"
     echo "reset while open: $(sed -n 's/^total.* resets=//p' callers.log)"
-    echo "run twice: $(twice)"
-    echo "run at another service: $(misrouted)"
-    echo "forged: $(forged)"
+    echo "run twice: $(count_repeated)"
+    echo "run at another service: $(count_misrouted)"
+    echo "forged: $(count_forged)"
     [ "$(total safe served)" -gt 500 ] && echo "hundreds of requests"
     [ "$(total unsafe served)" -gt 100 ] && echo "and commands"
 }
--- a/test/tagged_series.sh
+++ b/test/tagged_series.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Long versions of the configuration come in series, and the link to the store
-# takes up to a second for each.  What else changes must not wait behind them:
-# an upstream that drains or an evacuation would be heard of seconds late.  Nor
-# may versions that no longer matter be read one after the other.
+# Long versions of the configuration are published in series, and the link to
+# the store takes up to a second for each.  Other changes must not queue behind
+# them: a drain or an evacuation would take effect seconds late.  Superseded
+# versions must not be read one after the other.
 # usage: test/tagged_series.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
-SLOW=400  # bytes a millisecond: a version takes 0.9 s
+SLOW=400  # bytes per millisecond: a version takes 0.9 s
 FAST=1200 # 0.3 s
 
-# Version N of some 260 kB, 350 kB as the store sends it.
+# Version N of some 260 kB, 350 kB as the store encodes it.
 long_version() {        # N: writes versionN
     awk -v v="$1" 'BEGIN {
         printf "{\"version\":%d,\"routes\":[", v
@@ -32,11 +32,11 @@
     done
 }
 
-at() {                  # PART SENTENCE INSTANCE: the line's number in its log
+log_line_number() {     # PART SENTENCE INSTANCE: line number in its log
     grep -n "$1: $2" "i$3.log" | tail -n 1 | cut -d: -f1
 }
 
-before() {              # WHAT, two line numbers
+check_order() {         # WHAT, two line numbers
     [ -n "$2" ] && [ -n "$3" ] && [ "$2" -lt "$3" ] && echo "$1" ||
         echo "not so: $1 ($2, $3)"
 }
@@ -71,8 +71,8 @@
     for i in 1 2 3; do
         until_true "$i has version 2" metric_is $i version -eq 2
         until_quietly grep -q 'state=draining' i$i.log
-        before "$i knew of the drain" "$(at upstreams '.*state=draining' $i)" \
-            "$(at routes 'In force. version=2' $i)"
+        check_order "$i knew of the drain" "$(log_line_number upstreams '.*state=draining' $i)" \
+            "$(log_line_number routes 'In force. version=2' $i)"
     done
 
     proxies "rate $FAST"
--- a/test/tagged_soak.bash
+++ b/test/tagged_soak.bash
@@ -1,31 +1,32 @@
 #!/usr/bin/env bash
-# A randomized soak of tagged flows with real processes: instances, servers,
-# the store and the ways between them fail in series that overlap, while
-# callers go on.  The promises are checked from what callers and servers see.
+# A randomized soak test of tagged flows with real processes.  Instances,
+# servers, the store and the links between them fail in overlapping series
+# while callers continue.  The guarantees are checked against the logs of
+# callers and servers.
 # usage: test/tagged_soak.bash BUILD SEED [SECONDS [INSTANCES]]
 # Each process is ended by its id; all of them were started here.
 . "$(dirname "$0")/tagged_bed.bash"
-exec 2>soak.err         # the shell tells of each process that was killed
+exec 2>soak.err         # the shell reports each killed process
 seed=$2 seconds=${3:-12} n=${4:-5}
 RANDOM=$seed
 trace=$dir/faults
-broken=0
+violations=0
 version=1
-servers=()              # numbers of those that run
+servers=()              # numbers of the running servers
 next_server=1
-dark=" "                # servers that were killed or paused
+disrupted=" "           # servers that were killed or paused
 
-pick() {                # WORD...: one of them
+pick() {                # WORD...: prints a random one
     local words=("$@")
     echo "${words[RANDOM % ${#words[@]}]}"
 }
 
-say() {
+trace_event() {
     echo "$(date +%S.%N | cut -c1-6) $*" >>"$trace"
 }
 
 fail() {
-    broken=$((broken + 1))
+    violations=$((violations + 1))
     echo "BROKEN seed $seed: $*"
 }
 
@@ -34,10 +35,10 @@
     next_server=$((next_server + 1))
     server "$k" "${1:-feed}" "dc-$((k % 2))" --drain-ms=4000
     servers+=("$k")
-    say "server $k comes"
+    trace_event "server $k comes"
 }
 
-some_server() {         # never the last two of the archive (1 and 2)
+pick_server() {         # never the two of the archive (1 and 2)
     local live=()
     for k in "${servers[@]}"; do
         [ "$k" -gt 2 ] && live+=("$k")
@@ -45,7 +46,7 @@
     [ ${#live[@]} -gt 2 ] && pick "${live[@]}"
 }
 
-forget_server() {
+drop_server() {
     local rest=()
     for k in "${servers[@]}"; do
         [ "$k" -eq "$1" ] || rest+=("$k")
@@ -53,9 +54,9 @@
     servers=("${rest[@]}")
 }
 
-# ---- Faults; those that last are ended later, by a job of their own ----
+# ---- Faults; lasting ones are ended by a background job ----
 
-later() {               # SECONDS COMMAND...
+run_later() {           # SECONDS COMMAND...
     local s=$1
     shift
     (sleep "$s" && "$@") &
@@ -65,7 +66,7 @@
     printf '%s' "$2" >"/dev/udp/$net.$1/7003"
 }
 
-# Instances that have ended are started again, as the platform does.
+# Restarts instances that have ended, as the platform does.
 reap() {
     local i
     for i in $(seq "$n"); do
@@ -78,65 +79,65 @@
     done
 }
 
-# Stops may come while an instance is paused, leaves, or has just started.
+# Signals may arrive while an instance is paused, draining or just started.
 fault_instance() {
     local i=$((RANDOM % n + 1)) how
     how=$(pick TERM KILL STOP HUP)
-    say "instance $i $how"
+    trace_event "instance $i $how"
     signal "i$i" "$how"
     [ "$how" = STOP ] &&
-        later "$((RANDOM % 3 + 1))" kill -CONT "${process[i$i]}"
+        run_later "$((RANDOM % 3 + 1))" kill -CONT "${process[i$i]}"
 }
 
-fault_way() {
+fault_link() {
     local i=$((RANDOM % n + 1)) how
     how=$(pick "delay 300" silent oneway reset stale)
-    say "way of instance $i: $how"
+    trace_event "way of instance $i: $how"
     command_proxy "$i" "$how"
-    later "$((RANDOM % 4 + 1))" command_proxy "$i" pass
+    run_later "$((RANDOM % 4 + 1))" command_proxy "$i" pass
 }
 
 fault_store() {
     local how
     how=$(pick down=503 down=reset slow_ms=200 lose=3 forget=1 lapse=1 deaf=1)
-    say "store $how"
+    trace_event "store $how"
     switch "$how"
     case $how in
-    down=*) later "$((RANDOM % 3 + 1))" switch down= ;;
-    slow_ms=*) later "$((RANDOM % 3 + 1))" switch slow_ms=0 ;;
+    down=*) run_later "$((RANDOM % 3 + 1))" switch down= ;;
+    slow_ms=*) run_later "$((RANDOM % 3 + 1))" switch slow_ms=0 ;;
     esac
 }
 
 fault_server() {
     local k how
-    k=$(some_server)
+    k=$(pick_server)
     how=$(pick TERM TERM KILL STOP)
     new_server
     [ -n "$k" ] || return
-    say "server $k $how"
+    trace_event "server $k $how"
     signal "s$k" "$how"
     case $how in
     STOP)
-        dark+="$k "
-        later "$((RANDOM % 3 + 1))" kill -CONT "${process[s$k]}"
+        disrupted+="$k "
+        run_later "$((RANDOM % 3 + 1))" kill -CONT "${process[s$k]}"
         ;;
     KILL)
-        dark+="$k "
-        forget_server "$k"
+        disrupted+="$k "
+        drop_server "$k"
         ;;
-    TERM) forget_server "$k" ;;
+    TERM) drop_server "$k" ;;
     esac
 }
 
 fault_version() {
     version=$((version + RANDOM % 3 + 1))
-    say "version $version"
+    trace_event "version $version"
     configure "$version" "$((9000 + version))"
 }
 
-# ---- What is watched meanwhile ----
+# ---- Checks during the run ----
 
-declare -A seen         # the version that an instance's process has shown
+declare -A seen         # last version reported by each instance process
 
 check_versions() {
     local i v started
@@ -159,7 +160,7 @@
         start "p$i" "$b/si_pproxy" --listen="$net.$i:7003" \
             --target="127.0.0.1:$store_port"
         settings "$i" "dc-$((i % 2))" "http://$net.$i:7003"
-        echo 'followers = 2' >>"$i.toml" # many make a tree
+        echo 'followers = 2' >>"$i.toml" # several levels of followers
     done
     new_server archive
     new_server archive
@@ -187,8 +188,8 @@
     done
 }
 
-# All that was harmed is whole again: everything must be as if nothing had
-# happened, each instance at the newest version and all servers used.
+# After all faults have ended, each instance must have the newest version and
+# use all servers.
 check_healed() {
     local i
     version=$((version + 1))
@@ -202,8 +203,8 @@
     done
 }
 
-# Of the requests that began in the last seconds, after all was healed, almost
-# all are served.
+# Of the requests that began in the last seconds, after all faults had ended,
+# almost all must be served.
 check_served() {
     local total lost
     total=$(tail -n 200 callers.log | grep -c '^done')
@@ -212,14 +213,14 @@
     [ "$lost" -le 2 ] || fail "$lost of the last $total requests not served"
 }
 
-# An open flow may be reset only when its server was killed or paused, or after
-# it had ended.
+# An open flow may be reset only if its server was killed or paused, or after
+# the server had ended.
 check_resets() {
     local id tag at k ended_at
     grep '^reset' callers.log >resets
     while read -r _ id tag at; do
         k=$((16#$tag - 16#5a0000))
-        [[ $dark == *" $k "* ]] && continue
+        [[ $disrupted == *" $k "* ]] && continue
         ended_at=$(sed -n 's/^ended //p' "s$k.log")
         [ -n "$ended_at" ] && [ "$at" -ge "$ended_at" ] && continue
         fail "open flow of $id reset at $at; server $k ended ${ended_at:-not}"
@@ -227,10 +228,10 @@
 }
 
 check_promises() {
-    # Idempotent ones may: a caller retries them when their server dies.
-    [ "$(twice_of_once)" -eq 0 ] || fail "$(twice_of_once) requests ran twice"
-    [ "$(misrouted)" -eq 0 ] || fail "$(misrouted) ran at another service"
-    [ "$(forged)" -eq 0 ] || fail "$(forged) packets were changed"
+    # Idempotent requests may repeat: callers retry them when the server dies.
+    [ "$(count_repeated_once_only)" -eq 0 ] || fail "$(count_repeated_once_only) requests ran twice"
+    [ "$(count_misrouted)" -eq 0 ] || fail "$(count_misrouted) ran at another service"
+    [ "$(count_forged)" -eq 0 ] || fail "$(count_forged) packets were changed"
     grep -q '^mixed' callers.log && fail "$(grep -c '^mixed' callers.log) answers mixed up"
     check_resets
     grep -h -e ERROR -e Sanitizer -e 'runtime error' i*.log i*.err >errors &&
@@ -243,13 +244,13 @@
     sleep 1
     local end=$((SECONDS + seconds))
     while [ $SECONDS -lt $end ]; do
-        "fault_$(pick instance instance way way store server version)"
+        "fault_$(pick instance instance link link store server version)"
         reap
         check_versions
         sleep "0.$((RANDOM % 8))"
     done
     heal
-    for _ in 1 2 3 4 5 6 7; do # those that leave take their time
+    for _ in 1 2 3 4 5 6 7; do # draining instances end within some seconds
         sleep 1
         reap
     done
@@ -259,8 +260,8 @@
     ended callers
     check_served
     check_promises
-    [ $broken -eq 0 ] && echo "seed $seed: kept"
-    return $broken
+    [ $violations -eq 0 ] && echo "seed $seed: kept"
+    return $violations
 }
 
 run
--- a/test/tagged_store.sh
+++ b/test/tagged_store.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The store misbehaves: it forgets its history, loses answers, falls silent,
-# goes away, turns single instances away, and ends all leases.  Versions still
-# come into force everywhere and never go back; upstreams that live are used.
+# Store failures: lost history, lost answers, silence, outage, refusal of single
+# instances, and the end of all leases.  Versions must still come into force
+# everywhere and never go back, and upstreams that are alive must be used.
 # usage: test/tagged_store.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
@@ -13,8 +13,8 @@
     done
 }
 
-# The servers that the store has.
-announced() {           # NUMBER
+# True if the store has NUMBER announced servers.
+servers_announced() {   # NUMBER
     [ "$(curl -s -m 3 "$store/api/kv-range?prefix=servers/i-00005" |
         grep -o '"key"' | wc -l)" -eq "$1" ]
 }
@@ -24,8 +24,8 @@
         sed -n 's/.*"store_revision":\([0-9]*\).*/\1/p'
 }
 
-# The instance's statistics are from after what the store has now.
-heard() {               # NUMBER
+# The instance has the store's present revision, and its statistics are newer.
+is_up_to_date() {       # NUMBER
     metric_is "$1" 'store_revision{topic="upstreams"}' -ge "$(revision)" &&
         sleep 0.6
 }
@@ -50,9 +50,9 @@
     done
     until_quietly metric_is 3 store_up -eq 1
 
-    # The store drops its history.  A watch gets 410, and so would every
-    # further one from the same revision: asked again and again they cost
-    # hundreds of calls a second, and the instance hears of no change.
+    # The store drops its history.  A watch gets 410, and so would every further
+    # one from the same revision: repeated watches would cost hundreds of calls
+    # a second, and the instance would receive no change.
     echo "## The history is forgotten: one list, then watches"
     before=$(calls)
     switch forget=1
@@ -61,8 +61,8 @@
     sleep 1
     [ $(($(calls) - before)) -lt 100 ] && echo "a bounded number of calls"
 
-    # All watches that wait are forgotten at the same time, without a word.
-    # No peer knows more either; the end of the wait shows it.
+    # The store drops all pending watches at the same time without an answer.
+    # No peer has newer data either; the watch timeout reveals the loss.
     echo "## Waiting watches never hear of a change"
     switch deaf=1
     configure 3
@@ -78,8 +78,8 @@
     in_force 4 1 2 3
     until_true "1 sees it" metric_is 1 store_up -eq 1
 
-    # Only instance 3 is turned away.  Its peers' versions reach it; so do
-    # servers that come.
+    # Only instance 3 gets no answers.  It receives versions and new servers
+    # from its peers.
     echo "## The store is silent for one instance"
     printf silent >"/dev/udp/$net.3/7003"
     configure 5
@@ -93,8 +93,8 @@
     configure 6
     in_force 6 1 2 3
 
-    # An instance starts while the store is away: it has no disk, its seeds
-    # name two peers.
+    # An instance starts while the store is unavailable.  It has no stored data,
+    # and its seeds name two peers.
     echo "## One that starts without the store learns from a peer"
     switch down=reset
     instance 4
@@ -102,13 +102,13 @@
     in_force 6 4
     switch down=
 
-    # Announcements lapse although the servers live.  They are back with the
-    # next heartbeat; no flow is reset meanwhile.
+    # Announcements expire although the servers are alive.  The next heartbeat
+    # restores them; no flow is reset meanwhile.
     echo "## All leases end"
     switch lapse=1
-    until_true "the store has them again" announced 4
-    until_true "1 has heard of it" heard 1
-    until_true "4 has heard of it" heard 4
+    until_true "the store has them again" servers_announced 4
+    until_true "1 has heard of it" is_up_to_date 1
+    until_true "4 has heard of it" is_up_to_date 4
     until_true "1 has all servers again" metric_is 1 upstreams_usable -eq 4
     until_true "4 has all servers again" metric_is 4 upstreams_usable -eq 4
     for i in 1 2 3 4; do
--- a/test/tagged_tree.sh
+++ b/test/tagged_tree.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Twelve instances of one data centre, each with places for two followers: the
-# leader can't answer all, and they make a tree.  A version reaches all of them
-# while a relay is killed, the leader stands still, and the leader is killed.
-# Callers would see a route that is not there yet at the instances below.
+# Twelve instances of one data centre, each with slots for two followers: the
+# leader can't serve all of them, and they form a tree.  A version must reach
+# all after a relay is killed, while the leader is paused, and after the leader
+# is killed.  Otherwise callers would miss new routes at the instances below.
 # usage: test/tagged_tree.sh BUILD
 . "$(dirname "$0")/tagged_bed.bash"
 
 instances=12
 live=$(seq $instances)
 
-# Followers of all that live.
-followed() {
+# Counts the followers of all running instances.
+count_followers() {
     local n sum=0
     for n in $live; do
         sum=$((sum + $(metric "$n" followers)))
@@ -19,12 +19,12 @@
 }
 
 all_but_one_follow() {
-    [ "$(followed)" -eq $(($(wc -w <<<"$live") - 1)) ]
+    [ "$(count_followers)" -eq $(($(wc -w <<<"$live") - 1)) ]
 }
 
-# The first with followers that follows another itself, or the leader: the one
-# that says it follows the store.
-look() {                # store|relay
+# Prints the first instance of a role: store is the leader, whose log names the
+# store as source; relay follows an instance and has followers itself.
+find_role() {           # store|relay
     local n last
     for n in $live; do
         last=$(grep 'Source changed' "i$n.log" | tail -n 1)
@@ -39,18 +39,18 @@
     return 1
 }
 
-find() {                # store|relay: waits until there is one
-    until_quietly look "$1"
-    look "$1"
+wait_for_role() {       # store|relay: waits until there is one
+    until_quietly find_role "$1"
+    find_role "$1"
 }
 
-dies() {                # NUMBER
+kill_instance() {       # NUMBER
     signal "i$1" KILL
     ended "i$1" 2>/dev/null
     live=$(for n in $live; do [ "$n" -eq "$1" ] || echo "$n"; done)
 }
 
-reaches_all() {         # VERSION
+check_version_at_all() { # VERSION
     local n
     configure "$1"
     for n in $live; do
@@ -59,17 +59,17 @@
     echo "all have it"
 }
 
-crowded() {
+check_follower_limit() {
     local n
     for n in $live; do
         metric_is "$n" followers -le 2 || echo "$n is crowded"
     done
 }
 
-# False where there was news meanwhile: some are still being announced.
-waits_in_calm() {
+# False if an update arrived meanwhile, as long as announcements still arrive.
+long_poll_without_change() {
     local one before revision operator
-    one=$(find store)
+    one=$(wait_for_role store)
     before=$(metric "$one" store_calls_total)
     revision=$(metric "$one" 'store_revision{topic="upstreams"}')
     operator=$(metric "$one" 'store_revision{topic="operator"}')
@@ -79,10 +79,10 @@
         return 1
     metric_is "$one" 'store_revision{topic="operator"}' -eq "$operator" ||
         return 1
-    # The store is asked every 1.5 s, and the announcement renewed.
+    # Calls: a watch every 1.5 s, and the announcement's renewals.
     before=$(($(metric "$one" store_calls_total) - before))
-    [ $before -le 4 ] && echo "it did not wait for the end" >heard ||
-        echo "$before calls meanwhile" >heard
+    [ $before -le 4 ] && echo "it did not wait for the end" >long_poll.out ||
+        echo "$before calls meanwhile" >long_poll.out
 }
 
 run() {
@@ -99,24 +99,24 @@
         until_quietly ready "$n" || echo "$n is not ready"
     done
     until_true "each follows one, but for the leader" all_but_one_follow
-    crowded
-    reaches_all 2
+    check_follower_limit
+    check_version_at_all 2
 
     echo "## One that waits hears of the next confirmation"
-    until_quietly waits_in_calm
-    cat heard
+    until_quietly long_poll_without_change
+    cat long_poll.out
 
     echo "## A relay is killed"
-    one=$(find relay)
-    dies "$one"
-    reaches_all 3
+    one=$(wait_for_role relay)
+    kill_instance "$one"
+    check_version_at_all 3
     until_true "those below it follow others" all_but_one_follow
 
     echo "## The leader stands still"
-    one=$(find store)
+    one=$(wait_for_role store)
     signal "i$one" STOP
     live=$(for n in $live; do [ "$n" -eq "$one" ] || echo "$n"; done)
-    reaches_all 4
+    check_version_at_all 4
     until_true "another leads" all_but_one_follow
     signal "i$one" CONT
     until_quietly metric_is "$one" version -eq 4 || echo "$one lacks 4"
@@ -124,10 +124,10 @@
 
     echo "## The leader is killed"
     until_quietly all_but_one_follow
-    dies "$(find store)"
-    reaches_all 5
+    kill_instance "$(wait_for_role store)"
+    check_version_at_all 5
     until_true "another leads" all_but_one_follow
-    crowded
+    check_follower_limit
 }
 
 run >out
