--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -41,12 +41,12 @@
     uint32_t n;
 } prev_values_t;
 
-void prev_values_free(prev_values_t *f);
+void prev_values_free(prev_values_t *v);
 /* Stores a copy of ITEM if its value is long. */
-void prev_values_add(prev_values_t *f, const store_item_t *item);
-/* Returns the value of KEY held by a peer that has all changes up to revision
- * AFTER, or NULL if that value is not stored. */
-const store_item_t *prev_values_find(const prev_values_t *f, const char *key,
+void prev_values_add(prev_values_t *v, const store_item_t *item);
+/* Returns the value of KEY that a peer with all changes up to revision AFTER
+ * has, as far as recorded here, or NULL if that value is not stored. */
+const store_item_t *prev_values_find(const prev_values_t *v, const char *key,
                                      uint64_t after);
 /* Returns the delta from FROM to TO as text on the heap; NULL without memory.
  */
@@ -283,8 +283,8 @@
 typedef struct {
     uint64_t upstream; /* 0: free slot */
     ms_t deadline;
-    int fd;      /* -1: connect() failed immediately */
-    int failure; /* errno of the immediate failure */
+    int fd;      /* -1: the probe failed immediately */
+    int failure; /* errno of that failure */
 } probe_t;
 
 typedef struct {
--- a/tagged/value_delta.c
+++ b/tagged/value_delta.c
@@ -18,43 +18,43 @@
 #define VALUE_MAX (8u * 1024 * 1024)
 
 static void
-drop_oldest(prev_values_t *f)
+drop_oldest(prev_values_t *v)
 {
-    free(f->value[0].key);
-    free(f->value[0].value);
-    f->n--;
-    memmove(&f->value[0], &f->value[1], f->n * sizeof(f->value[0]));
+    free(v->value[0].key);
+    free(v->value[0].value);
+    v->n--;
+    memmove(&v->value[0], &v->value[1], v->n * sizeof(v->value[0]));
 }
 
 void
-prev_values_free(prev_values_t *f)
+prev_values_free(prev_values_t *v)
 {
-    while (f->n > 0) {
-        drop_oldest(f);
+    while (v->n > 0) {
+        drop_oldest(v);
     }
 }
 
 static size_t
-total_bytes(const prev_values_t *f)
+total_bytes(const prev_values_t *v)
 {
     size_t bytes = 0;
 
-    for (uint32_t i = 0; i < f->n; i++) {
-        bytes += strlen(f->value[i].value);
+    for (uint32_t i = 0; i < v->n; i++) {
+        bytes += strlen(v->value[i].value);
     }
     return bytes;
 }
 
 void
-prev_values_add(prev_values_t *f, const store_item_t *item)
+prev_values_add(prev_values_t *v, const store_item_t *item)
 {
     store_item_t copy = {.revision = item->revision};
 
     if (item->value == NULL || strlen(item->value) < LONG_VALUE_BYTES) {
         return;
     }
-    if (f->n == PREV_VALUES_MAX) {
-        drop_oldest(f);
+    if (v->n == PREV_VALUES_MAX) {
+        drop_oldest(v);
     }
     copy.key = strdup(item->key);
     copy.value = strdup(item->value);
@@ -64,17 +64,17 @@
         free(copy.value);
         return;
     }
-    f->value[f->n++] = copy;
-    while (f->n > 1 && total_bytes(f) > PREV_VALUES_BYTES) {
-        drop_oldest(f);
+    v->value[v->n++] = copy;
+    while (v->n > 1 && total_bytes(v) > PREV_VALUES_BYTES) {
+        drop_oldest(v);
     }
 }
 
 const store_item_t *
-prev_values_find(const prev_values_t *f, const char *key, uint64_t after)
+prev_values_find(const prev_values_t *v, const char *key, uint64_t after)
 {
-    for (uint32_t i = f->n; i-- > 0;) {
-        const store_item_t *it = &f->value[i];
+    for (uint32_t i = v->n; i-- > 0;) {
+        const store_item_t *it = &v->value[i];
         if (it->revision <= after && strcmp(it->key, key) == 0) {
             return it;
         }
