--- a/tagged/check.c
+++ b/tagged/check.c
@@ -1,20 +1,23 @@
-/* The check duty: asks another peer than the followed one for anything newer.
+/* The check duty: polls another peer than the followed source for anything
+ * newer.
  *
- * The followed source may be cut off, frozen or turned away, and its silence
- * looks like calm.  Another's answer shows it within a second, at the cost of
- * one small exchange between instances, which the store never sees. */
+ * The followed source may be cut off, suspended or refused by the store, and
+ * its silence looks like the absence of changes.  Another peer's answer
+ * reveals this within a second, at the cost of one small exchange between
+ * instances and no call to the store. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 
-/* Until something is known: an instance that starts while the store is away,
- * or among many, gets it from a peer.  A peer that is only starting itself
- * answers when it knows something, or after START_WAIT_MS. */
-#define START_MS 30
-#define START_WAIT_MS 300
+/* Poll period and long-poll timeout while this instance has no data.  An
+ * instance that starts while the store is unavailable, or together with many
+ * others, gets the data from a peer.  A peer that is itself starting answers
+ * once it has data, or after START_ANSWER_MS. */
+#define START_POLL_MS 30
+#define START_ANSWER_MS 300
 
 static const source_peer_t *
-pick(tagged_t *t, bool starting, addr_t *a)
+pick_peer(tagged_t *t, bool starting, addr_t *a)
 {
     const source_peer_t *p;
 
@@ -28,10 +31,10 @@
     return p;
 }
 
-/* When all start together, a peer that can't be reached may be up a moment
- * later: it is asked again. */
+/* Classifies the result of a poll.  When all instances start together, a peer
+ * that can't be reached may be up a moment later and is polled again. */
 static source_answer_t
-answer_of(int rc, bool starting)
+classify_answer(int rc, bool starting)
 {
     if (rc >= 0 || rc == -ENOBUFS) {
         return SOURCE_TOLD;
@@ -48,16 +51,16 @@
     addr_t a;
     int rc;
 
-    if (pick(t, !known, &a) == NULL) {
+    if (pick_peer(t, !known, &a) == NULL) {
         return;
     }
-    rc = news_ask(t, c, &a, !known ? START_WAIT_MS : 0, &e);
-    news_note(t, &a, answer_of(rc, !known));
+    rc = updates_poll(t, c, &a, !known ? START_ANSWER_MS : 0, &e);
+    updates_record_answer(t, &a, classify_answer(rc, !known));
     if (rc > 0) {
-        counter_add(&t->count.news_from_check, 1);
+        counter_add(&t->count.check_updates, 1);
         log_line(
             LVL_INFO, "check",
-            "News from a peer. peer=%s items=%d upstreams=%llu "
+            "Update from a peer. peer=%s items=%d upstreams=%llu "
             "operator=%llu",
             addr_text(&a, text), rc,
             (unsigned long long)replica_revision(t->replica[TOPIC_UPSTREAMS]),
@@ -73,7 +76,7 @@
     pthread_mutex_lock(&t->follow_lock);
     ms = sources_check_ms(&t->sources);
     pthread_mutex_unlock(&t->follow_lock);
-    return tagged_has_replicas(t) ? ms : START_MS;
+    return tagged_has_replicas(t) ? ms : START_POLL_MS;
 }
 
 void
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -1,4 +1,4 @@
-/* The packets duty: callers' packets in, decisions, packets out. */
+/* The packets duty: receives callers' packets, decides, and sends. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -6,53 +6,56 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define BATCH 32       /* packets received in one call */
-#define TURNS 8        /* batches before the rest has its turn */
-#define IDLE_MS 1000   /* the longest sleep */
-#define PUBLISH_MS 500 /* between two copies of the statistics */
-/* A sleep that lasted so much longer than asked for: the process stood still,
- * and callers' repetitions of that time say nothing about upstreams. */
+#define PACKET_BATCH 32 /* packets per recvmmsg() call */
+#define BATCHES_MAX 8   /* batches received before timers and probes run */
+#define IDLE_MS 1000    /* longest sleep */
+#define PUBLISH_MS 500  /* period of the copies of the statistics */
+/* Sleep overrun above which the process counts as suspended.  Callers'
+ * retransmissions from such a period are no evidence about upstreams. */
 #define PAUSE_MS 150
-/* Lines about single flows, a second; with bursts of as many.  A busy instance
- * opens some hundred flows a second; beyond, the metrics tell. */
-#define FLOW_LINES_PER_S 200
+/* Log lines about single flows per second, and the burst size.  A busy
+ * instance opens some hundred flows a second; flows beyond the rate appear
+ * only in the metrics. */
+#define FLOW_LOG_RATE 200
 
-/* Packets that wait in the socket for the first routes are served when those
- * came so soon after the start; later, their callers have given up. */
-#define WAIT_FRESH_MS 1000
+/* Packets in the socket buffer are served if the first routes arrive within
+ * this time after the start.  Later, their callers have given up. */
+#define START_BACKLOG_MS 1000
 
 typedef struct {
     tagged_t *t;
     flowset_t *flows;
-    bool serving; /* there are routes and upstreams: packets are read */
+    bool serving; /* routes and upstreams are available: packets are read */
     probes_t probes;
     ms_t now;
-    ms_t current_at; /* of the replica, as of the last look */
+    ms_t current_at; /* of the replica, when last read */
     ms_t publish_at;
-    double lines; /* log lines that may be written now */
-    ms_t lines_at;
+    double log_tokens; /* token bucket of log lines */
+    ms_t log_tokens_at;
     sender_t *sender;
-    struct mmsghdr in[BATCH];
-    struct iovec in_iov[BATCH];
-    char stamp[BATCH][UDP_STAMP_LEN];
-    uint8_t data[BATCH][PACKET_BYTES + 1]; /* one more: too long shows */
+    struct mmsghdr in[PACKET_BATCH];
+    struct iovec in_iov[PACKET_BATCH];
+    char stamp[PACKET_BATCH][UDP_STAMP_LEN];
+    uint8_t data[PACKET_BATCH]
+                [PACKET_BYTES + 1]; /* one more, to detect oversized packets */
 } packets_t;
 
-/* ---- Log lines about flows, at a bounded rate ---- */
+/* ---- Rate-limited log lines about flows ---- */
 
 static bool
-may_log(packets_t *p)
+log_allowed(packets_t *p)
 {
-    p->lines += (double)(p->now - p->lines_at) * FLOW_LINES_PER_S / 1000;
-    p->lines_at = p->now;
-    if (p->lines > FLOW_LINES_PER_S) {
-        p->lines = FLOW_LINES_PER_S;
+    p->log_tokens +=
+        (double)(p->now - p->log_tokens_at) * FLOW_LOG_RATE / 1000;
+    p->log_tokens_at = p->now;
+    if (p->log_tokens > FLOW_LOG_RATE) {
+        p->log_tokens = FLOW_LOG_RATE;
     }
-    if (p->lines < 1) {
-        counter_add(&p->t->count.lines_limited, 1);
+    if (p->log_tokens < 1) {
+        counter_add(&p->t->count.log_lines_limited, 1);
         return false;
     }
-    p->lines--;
+    p->log_tokens--;
     return true;
 }
 
@@ -61,8 +64,8 @@
 {
     char caller[ADDR_STRLEN], service[ADDR_STRLEN], to[ADDR_STRLEN];
 
-    /* A flow's later packets follow its opening: not a decision each. */
-    if (d->reason == FLOW_BY_TAG || !may_log(p)) {
+    /* Later packets of a flow follow its tag and need no decision. */
+    if (d->reason == FLOW_BY_TAG || !log_allowed(p)) {
         return;
     }
     addr_text(&in->caller, caller);
@@ -107,7 +110,7 @@
 {
     char id[PACKET_ID_LEN], caller[ADDR_STRLEN], service[ADDR_STRLEN];
 
-    if (d->asks && packet_request_id(data, len, id) && may_log(p)) {
+    if (d->asks && packet_request_id(data, len, id) && log_allowed(p)) {
         log_line(LVL_INFO, "request",
                  "Begins. request=%s flow=%s>%s upstream=%llx busy=%u", id,
                  addr_text(&in->caller, caller),
@@ -142,7 +145,7 @@
              (unsigned long long)out->limit.refused);
 }
 
-/* ---- What the flows ask for ---- */
+/* ---- Output of the flow set ---- */
 
 static void
 emit(void *arg, const flow_out_t *out)
@@ -154,7 +157,7 @@
     case FLOW_OUT_RESET:
         sender_reset(p->sender, &out->reset.caller, &out->reset.service,
                      out->reset.seq);
-        if (may_log(p)) {
+        if (log_allowed(p)) {
             log_line(LVL_INFO, "flow",
                      "Reset. flow=%s>%s reason=%s upstream=%llx seq=%u",
                      addr_text(&out->reset.caller, caller),
@@ -188,7 +191,7 @@
 /* ---- Changes of the replica ---- */
 
 static void
-take_routes(packets_t *p, store_event_t *ev)
+apply_routes(packets_t *p, store_event_t *ev)
 {
     flow_conf_t *c = ev->routes;
     uint64_t version = c->version;
@@ -204,14 +207,14 @@
 }
 
 static void
-take_upstream(packets_t *p, const store_event_t *ev, bool first)
+apply_upstream(packets_t *p, const store_event_t *ev, bool first)
 {
     const flow_upstream_t *u = &ev->upstream;
     char addr[ADDR_STRLEN];
     int rc = flowset_set_upstream(p->flows, p->now, u);
 
     if (first && rc == 0) {
-        return; /* a line for all of them is enough */
+        return; /* logged once for the whole list */
     }
     log_line(rc < 0 ? LVL_ERROR : LVL_INFO, "upstreams",
              "Announced. upstream=%llx addr=%s service=%s data_centre=%s "
@@ -219,11 +222,11 @@
              (unsigned long long)u->id, addr_text(&u->addr, addr), u->service,
              u->data_centre, u->draining ? "draining" : "ready",
              (long long)u->warm_up_ms, (unsigned long long)ev->revision,
-             rc < 0 ? " error=\"out of memory: it isn't used\"" : "");
+             rc < 0 ? " error=\"out of memory, upstream ignored\"" : "");
 }
 
 static void
-take_evacuation(packets_t *p, const store_event_t *ev)
+apply_evacuation(packets_t *p, const store_event_t *ev)
 {
     const char *data_centre = ev->evacuation.data_centre;
     bool evacuated = ev->evacuation.evacuated;
@@ -234,7 +237,8 @@
                  "Not %s. data_centre=%s revision=%llu error=\"%s\"",
                  evacuated ? "begun" : "ended", data_centre,
                  (unsigned long long)ev->revision,
-                 rc == -ENOSPC ? "too many are under way" : "out of memory");
+                 rc == -ENOSPC ? "too many evacuations in progress"
+                               : "out of memory");
         return;
     }
     log_line(LVL_INFO, "evacuation",
@@ -246,14 +250,14 @@
 }
 
 static void
-take_event(packets_t *p, store_event_t *ev, bool first)
+apply_event(packets_t *p, store_event_t *ev, bool first)
 {
     switch (ev->kind) {
     case STORE_ROUTES:
-        take_routes(p, ev);
+        apply_routes(p, ev);
         return;
     case STORE_UPSTREAM:
-        take_upstream(p, ev, first);
+        apply_upstream(p, ev, first);
         return;
     case STORE_UPSTREAM_GONE:
         log_line(LVL_INFO, "upstreams",
@@ -262,7 +266,7 @@
         flowset_remove_upstream(p->flows, p->now, ev->id);
         return;
     case STORE_EVACUATION:
-        take_evacuation(p, ev);
+        apply_evacuation(p, ev);
         return;
     case STORE_PEER:
     case STORE_PEER_GONE:
@@ -271,48 +275,50 @@
     }
 }
 
-/* The first routes and upstreams are known.  Until now packets were left in
- * the socket: a reset for want of a route would have been false, and would
- * have used up the callers' retries just when all instances return. */
+/* Starts to serve when the first routes and upstreams are available.  Until
+ * then packets stay in the socket buffer: a reset for a missing route would be
+ * wrong, and would use up the callers' retries just when all instances
+ * restart. */
 static void
-begin_serving(packets_t *p)
+start_serving(packets_t *p)
 {
     ms_t since = p->now - p->t->started;
     uint64_t dropped = 0;
 
-    while (since > WAIT_FRESH_MS &&
+    while (since > START_BACKLOG_MS &&
            recv(p->t->flow_fd, p->data[0], 1, MSG_DONTWAIT | MSG_TRUNC) >= 0) {
         dropped++;
     }
     p->serving = true;
-    SHARE(p->t, ready, true);
+    ATOMIC_SET(p->t, ready, true);
     log_line(LVL_INFO, "packets", "Serving. since_start_ms=%lld dropped=%llu",
              (long long)since, (unsigned long long)dropped);
 }
 
 static void
-take_changes(packets_t *p, changes_t *c)
+apply_changes(packets_t *p, changes_t *c)
 {
     for (size_t i = 0; i < c->n; i++) {
-        take_event(p, &c->event[i], c->first);
+        apply_event(p, &c->event[i], c->first);
     }
     if (c->first) {
         const flow_stats_t *s = flowset_stats(p->flows);
         log_line(LVL_INFO, "upstreams",
-                 "The first list. upstreams=%u usable=%u routes=%u",
+                 "Initial list. upstreams=%u usable=%u routes=%u",
                  s->upstreams, s->usable, s->routes);
     }
     if (!p->serving && flowset_ready(p->flows)) {
-        begin_serving(p);
+        start_serving(p);
     }
 }
 
-/* What is new, in the order in which it became known.  An evacuation ends when
- * the upstreams are known as of then; the revision is read before the messages
- * are, so that it promises none that is yet to come.  Whoever holds the lock
- * may be decoding a long configuration: packets don't wait for that. */
+/* Applies updates in order of arrival.  An evacuation ends once the upstreams
+ * are up to date as of its end.  The revision is read before the messages, so
+ * that it covers no message that is still to arrive.  The lock is only tried:
+ * its holder may be decoding a long configuration, and packets must not wait
+ * for that. */
 static void
-take_news(packets_t *p, duty_t *self)
+apply_updates(packets_t *p, duty_t *self)
 {
     bool ends = flowset_evacuation_ends(p->flows);
     bool locked = ends && pthread_mutex_trylock(&p->t->follow_lock) == 0;
@@ -324,7 +330,7 @@
         pthread_mutex_unlock(&p->t->follow_lock);
     }
     while (duty_take(self, &msg, 1) == 1) {
-        take_changes(p, msg);
+        apply_changes(p, msg);
         changes_free(msg);
     }
     if (ends) {
@@ -335,7 +341,7 @@
 /* ---- The loop ---- */
 
 static void
-take_packet(packets_t *p, uint8_t *data, size_t len, ms_t age)
+handle_packet(packets_t *p, uint8_t *data, size_t len, ms_t age)
 {
     flow_packet_t in;
     flow_decision_t d;
@@ -366,49 +372,51 @@
 static void
 receive(packets_t *p)
 {
-    int n = p->serving ? BATCH : 0;
+    int n = p->serving ? PACKET_BATCH : 0;
     ms_t real_now;
 
-    for (int turn = 0; turn < TURNS && n == BATCH; turn++) {
-        n = recvmmsg(p->t->flow_fd, p->in, BATCH, MSG_DONTWAIT, NULL);
+    for (int turn = 0; turn < BATCHES_MAX && n == PACKET_BATCH; turn++) {
+        n = recvmmsg(p->t->flow_fd, p->in, PACKET_BATCH, MSG_DONTWAIT, NULL);
         if (n <= 0) {
             return;
         }
         counter_add(&p->t->count.received, (uint64_t)n);
-        SHARE(p->t, packet_at, p->now);
+        ATOMIC_SET(p->t, packet_at, p->now);
         real_now = clock_wall();
         for (int i = 0; i < n; i++) {
             struct msghdr *h = &p->in[i].msg_hdr;
-            take_packet(p, p->data[i], p->in[i].msg_len, udp_age(h, real_now));
-            h->msg_controllen = sizeof(p->stamp[i]); /* for the next */
+            handle_packet(p, p->data[i], p->in[i].msg_len,
+                          udp_age(h, real_now));
+            h->msg_controllen =
+                sizeof(p->stamp[i]); /* reset for the next call */
         }
-        sender_flush(p->sender); /* before the buffers are filled again */
+        sender_flush(p->sender); /* before the buffers are reused */
     }
 }
 
-/* Who opens flows at upstreams that warm up. */
+/* Updates the instances that may open flows at upstreams in warm-up. */
 static void
-take_warmers(packets_t *p)
+update_warmers(packets_t *p)
 {
     uint64_t self, warmer[WARMERS_MAX];
     uint32_t n;
 
     if (pthread_mutex_trylock(&p->t->follow_lock) != 0) {
-        return; /* the next time */
+        return; /* retried at the next call */
     }
     n = sources_local(&p->t->sources, &self, warmer, WARMERS_MAX);
     pthread_mutex_unlock(&p->t->follow_lock);
     flowset_set_warmers(p->flows, self, warmer, n);
 }
 
-/* Facts from and for other duties. */
+/* Exchanges state with other duties. */
 static void
 publish(packets_t *p)
 {
     if (p->now < p->publish_at) {
         return;
     }
-    take_warmers(p);
+    update_warmers(p);
     pthread_mutex_lock(&p->t->stats_lock);
     p->t->stats = *flowset_stats(p->flows);
     pthread_mutex_unlock(&p->t->stats_lock);
@@ -434,7 +442,7 @@
     p->t = t;
     p->flows = flowset_new(&spec);
     p->sender = sender_new(t);
-    for (int i = 0; i < BATCH; i++) {
+    for (int i = 0; i < PACKET_BATCH; i++) {
         p->in_iov[i] = (struct iovec){p->data[i], sizeof(p->data[i])};
         p->in[i].msg_hdr = (struct msghdr){.msg_iov = &p->in_iov[i],
                                            .msg_iovlen = 1,
@@ -451,7 +459,7 @@
     size_t n;
     ms_t wait, before = p->now, slept;
 
-    /* A negative descriptor is passed over. */
+    /* poll() ignores a negative descriptor. */
     fds[1] = (struct pollfd){.fd = p->serving ? p->t->flow_fd : -1,
                              .events = POLLIN};
     n = 2 + probes_poll(&p->probes, fds + 2, &next);
@@ -475,13 +483,13 @@
     ms_t next = 0, paced;
 
     if (!open_flows(&p, tagged)) {
-        log_line(LVL_ERROR, "packets", "Out of memory: no flow is served.");
+        log_line(LVL_ERROR, "packets", "Out of memory, no flows are served.");
         return;
     }
     p.now = clock_now();
     while (!duty_stopping(self)) {
         sleep_until(&p, self, next);
-        take_news(&p, self);
+        apply_updates(&p, self);
         receive(&p);
         probes_check(&p.probes, probe_done, &p);
         next = flowset_tick(p.flows, p.now);
--- a/tagged/probes.c
+++ b/tagged/probes.c
@@ -1,6 +1,6 @@
 /* Probes: a TCP connection that is opened and closed.  The upstream's kernel
- * answers it, so it tells a process that has ended from one that is slow, and
- * takes none of the upstream's slots. */
+ * answers the probe, which distinguishes a process that has ended from a slow
+ * one and occupies none of the upstream's slots. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
@@ -42,7 +42,7 @@
         return -EAGAIN;
     }
     *free_ = (probe_t){.upstream = out->upstream,
-                       .until = clock_now() + out->probe.timeout_ms};
+                       .deadline = clock_now() + out->probe.timeout_ms};
     free_->fd = connect_to(&out->probe.to, &free_->failure);
     if (p->n <= (size_t)(free_ - p->probe)) {
         p->n = (size_t)(free_ - p->probe) + 1;
@@ -66,8 +66,8 @@
         if (q->fd < 0) {
             *next = 0;
         }
-        else if (q->until < *next) {
-            *next = q->until;
+        else if (q->deadline < *next) {
+            *next = q->deadline;
         }
     }
     return n;
@@ -88,13 +88,13 @@
     case ENOBUFS:
     case ENOMEM:
     case EADDRNOTAVAIL:
-        return PROBE_NONE; /* this instance's own trouble */
+        return PROBE_NONE; /* a local resource limit */
     default:
         return PROBE_SILENT;
     }
 }
 
-/* True when the probe has ended, with *FAILURE. */
+/* True if the probe has ended; *FAILURE receives its errno, 0 for success. */
 static bool
 has_ended(const probe_t *q, ms_t now, int *failure)
 {
@@ -112,13 +112,14 @@
         return true;
     }
     *failure = ETIMEDOUT;
-    return now >= q->until;
+    return now >= q->deadline;
 }
 
 void
 probes_check(probes_t *p, probe_done_t *done, void *arg)
 {
-    ms_t now = clock_now(); /* before it looks whether they were answered */
+    ms_t now = clock_now(); /* before the poll: a probe answered by its
+                               deadline counts as answered */
     int failure;
 
     for (size_t i = 0; i < p->n; i++) {
@@ -129,7 +130,7 @@
         if (q.fd >= 0) {
             close(q.fd);
         }
-        p->probe[i].upstream = 0; /* DONE may start another */
+        p->probe[i].upstream = 0; /* DONE may start another probe */
         done(arg, q.upstream, result_of(failure));
     }
     while (p->n > 0 && p->probe[p->n - 1].upstream == 0) {
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -1,24 +1,24 @@
-/* The replica: the store's items as last seen, sorted by key.  It serves
- * peers, which follow this instance, or catch up while the store turns them
- * away.  What has been removed is kept for a while, so that a peer that is a
- * little behind gets only what has changed. */
+/* The replica: the store's items as last read, sorted by key.  It serves peers
+ * that follow this instance, or that catch up while the store refuses them.
+ * Removed items are kept for a while, so that a peer that is slightly behind
+ * receives only the changes. */
 #include "tagged/tagged.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Removed items kept; a peer that misses more gets the whole. */
+/* Removed items kept; a peer that misses more receives the whole replica. */
 #define REMOVED_MAX 256
 
 struct replica {
     pthread_mutex_t lock;
-    store_items_t items; /* sorted by key; a removed one has no value */
+    store_items_t items; /* sorted by key; value is NULL if removed */
     size_t n_removed;
-    uint64_t floor; /* changes after it are complete */
-    former_t former;
+    uint64_t complete_after; /* changes after this revision are complete */
+    prev_values_t prev_values;
     /* Read without the lock, which is held while long values are compared. */
-    uint64_t revision; /* that of ITEMS */
+    uint64_t revision; /* same as items.revision */
     ms_t current_at;
 };
 
@@ -39,15 +39,15 @@
 {
     if (r != NULL) {
         store_items_free(&r->items);
-        former_free(&r->former);
+        prev_values_free(&r->prev_values);
         pthread_mutex_destroy(&r->lock);
         free(r);
     }
 }
 
-/* Where KEY is, or belongs. */
+/* Returns the position of KEY, or its insertion point. */
 static size_t
-place(const store_items_t *s, const char *key, bool *found)
+find_position(const store_items_t *s, const char *key, bool *found)
 {
     size_t low = 0, high = s->n;
 
@@ -70,7 +70,7 @@
 }
 
 static void
-take_out(replica_t *r, size_t at)
+remove_item_at(replica_t *r, size_t at)
 {
     store_items_t *s = &r->items;
 
@@ -83,7 +83,7 @@
 }
 
 static int
-put_in(replica_t *r, size_t at, const store_item_t *new_)
+insert_item_at(replica_t *r, size_t at, const store_item_t *new_)
 {
     store_items_t *s = &r->items;
     store_item_t item;
@@ -100,25 +100,25 @@
     return 0;
 }
 
-/* Takes NEW_ if it is newer than what there is; then it goes into CHANGED too.
- * Up to revision KNOWN the replica is complete: what isn't there has been
- * removed, and a source that is behind must not bring it back. */
+/* Stores NEW_ if it is newer than the present item, and adds it to CHANGED.
+ * The replica is complete up to revision KNOWN: a key that is missing here was
+ * removed by then, and a source that lags behind must not restore it. */
 static int
-put(replica_t *r, const store_item_t *new_, uint64_t known,
-    store_items_t *changed)
+put_item(replica_t *r, const store_item_t *new_, uint64_t known,
+         store_items_t *changed)
 {
     bool found;
-    size_t at = place(&r->items, new_->key, &found);
+    size_t at = find_position(&r->items, new_->key, &found);
     int rc;
 
     if (new_->revision <= (found ? r->items.item[at].revision : known)) {
         return 0;
     }
     if (found) {
-        former_keep(&r->former, &r->items.item[at]);
-        take_out(r, at);
+        prev_values_add(&r->prev_values, &r->items.item[at]);
+        remove_item_at(r, at);
     }
-    rc = put_in(r, at, new_);
+    rc = insert_item_at(r, at, new_);
     if (rc < 0) {
         return rc;
     }
@@ -133,9 +133,9 @@
     return (x > y) - (x < y);
 }
 
-/* Forgets the older half of what has been removed. */
+/* Drops the older half of the removed items. */
 static void
-forget_removed(replica_t *r)
+prune_removed(replica_t *r)
 {
     uint64_t revision[REMOVED_MAX + 1], limit;
     size_t n = 0;
@@ -153,13 +153,13 @@
     for (size_t i = r->items.n; i-- > 0;) {
         if (r->items.item[i].value == NULL &&
             r->items.item[i].revision <= limit) {
-            take_out(r, i);
+            remove_item_at(r, i);
         }
     }
-    r->floor = limit > r->floor ? limit : r->floor;
+    r->complete_after = limit > r->complete_after ? limit : r->complete_after;
 }
 
-/* What is there and not in ITEMS, which is all there is, has been removed. */
+/* Marks items missing from ITEMS, a whole list, as removed. */
 static int
 remove_missing(replica_t *r, const store_items_t *items,
                store_items_t *changed)
@@ -169,12 +169,12 @@
     int rc = 0;
 
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = put(&seen, &items->item[i], 0, &ignored);
+        rc = put_item(&seen, &items->item[i], 0, &ignored);
     }
     for (size_t i = r->items.n; i-- > 0 && rc == 0;) {
         const store_item_t *it = &r->items.item[i];
         bool found;
-        place(&seen.items, it->key, &found);
+        find_position(&seen.items, it->key, &found);
         if (it->value != NULL && !found && it->revision <= items->revision) {
             store_item_t gone = {.key = it->key, .revision = items->revision};
             rc = store_items_add(changed, gone.key, NULL, gone.revision);
@@ -189,12 +189,12 @@
     return rc;
 }
 
-/* Makes a value of ITEM's difference, unless what is here is as new. */
+/* Expands ITEM's delta to its value, unless the stored item is as new. */
 static int
-expand(const replica_t *r, store_item_t *item)
+expand_delta(const replica_t *r, store_item_t *item)
 {
     bool found;
-    size_t at = place(&r->items, item->key, &found);
+    size_t at = find_position(&r->items, item->key, &found);
     const store_item_t *own = found ? &r->items.item[at] : NULL;
     char *value;
     int rc;
@@ -206,7 +206,7 @@
     if (!found || own->value == NULL || own->revision != item->difference_to) {
         return -ESTALE;
     }
-    rc = difference_apply(own->value, item->value, &value);
+    rc = value_delta_apply(own->value, item->value, &value);
     if (rc < 0) {
         return rc == -EBADMSG ? -ESTALE : rc;
     }
@@ -227,7 +227,7 @@
     pthread_mutex_lock(&r->lock);
     known = r->items.revision;
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = expand(r, &items->item[i]);
+        rc = expand_delta(r, &items->item[i]);
     }
     if (rc < 0) {
         pthread_mutex_unlock(&r->lock);
@@ -237,21 +237,22 @@
         rc = remove_missing(r, items, changed);
     }
     for (size_t i = 0; i < items->n && rc == 0; i++) {
-        rc = put(r, &items->item[i], known, changed);
+        rc = put_item(r, &items->item[i], known, changed);
     }
     if (rc == 0 && items->revision > r->items.revision) {
         if (r->items.revision == 0) {
-            r->floor = items->revision; /* removals before aren't known */
+            r->complete_after =
+                items->revision; /* earlier removals are unknown */
         }
         r->items.revision = items->revision;
     }
-    /* A source that knows less than is known here was not current. */
+    /* A source at an older revision was not current. */
     if (rc == 0 && items->revision >= r->items.revision &&
         now - items->age > r->current_at) {
         __atomic_store_n(&r->current_at, now - items->age, __ATOMIC_RELAXED);
     }
     __atomic_store_n(&r->revision, r->items.revision, __ATOMIC_RELEASE);
-    forget_removed(r);
+    prune_removed(r);
     pthread_mutex_unlock(&r->lock);
     return rc;
 }
@@ -297,7 +298,8 @@
     pthread_mutex_unlock(&r->lock);
 }
 
-/* The items of R that are newer than AFTER, or all; copies of pointers. */
+/* Selects the items of R that are newer than AFTER, or all; copies pointers
+ * only. */
 static void
 select_items(const replica_t *r, uint64_t after, store_items_t *out)
 {
@@ -309,26 +311,27 @@
     }
 }
 
-/* Replaces values in OUT by differences (heap) to what a peer has that knows
- * all up to AFTER. */
+/* Replaces values in OUT by deltas (on the heap) to the values held by a peer
+ * that has all changes up to AFTER. */
 static void
-select_differences(const replica_t *r, uint64_t after, store_items_t *out)
+select_deltas(const replica_t *r, uint64_t after, store_items_t *out)
 {
     for (size_t i = 0; i < out->n; i++) {
         store_item_t *it = &out->item[i];
-        const store_item_t *had = former_find(&r->former, it->key, after);
-        char *difference = had != NULL && it->value != NULL
-                               ? difference_make(had->value, it->value)
+        const store_item_t *base =
+            prev_values_find(&r->prev_values, it->key, after);
+        char *difference = base != NULL && it->value != NULL
+                               ? value_delta_make(base->value, it->value)
                                : NULL;
         if (difference != NULL) {
             it->value = difference;
-            it->difference_to = had->revision;
+            it->difference_to = base->revision;
         }
     }
 }
 
 static void
-free_differences(store_items_t *out)
+free_deltas(store_items_t *out)
 {
     for (size_t i = 0; i < out->n; i++) {
         if (out->item[i].difference_to != 0) {
@@ -343,7 +346,7 @@
     bool behind;
 
     pthread_mutex_lock(&r->lock);
-    behind = after < r->floor;
+    behind = after < r->complete_after;
     pthread_mutex_unlock(&r->lock);
     return behind;
 }
@@ -356,19 +359,19 @@
     char *text = NULL;
 
     pthread_mutex_lock(&r->lock);
-    out.whole = after < r->floor;
+    out.whole = after < r->complete_after;
     out.revision = r->items.revision;
     out.age = now + given_ms - r->current_at;
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
         if (differences && !out.whole) {
-            select_differences(r, after, &out);
+            select_deltas(r, after, &out);
         }
         text = store_items_write(&out);
     }
     pthread_mutex_unlock(&r->lock);
-    free_differences(&out);
+    free_deltas(&out);
     free(out.item);
     return text;
 }
--- a/tagged/former.c
+++ b/tagged/value_delta.c
@@ -1,8 +1,8 @@
-/* Former values of long items, and differences to them.
+/* Previous values of long items, and deltas to them.
  *
- * The configuration may be hundreds of kilobytes and change by a line.  A peer
- * that has the value before gets the difference: whole, it would fill a slow
- * link for seconds with each version. */
+ * The configuration may have hundreds of kilobytes and change by a line.  A
+ * peer that has a previous value receives the delta: the full value would fill
+ * a slow link for seconds with each version. */
 #include "tagged/tagged.h"
 #include "plat/plat.h"
 
@@ -11,69 +11,70 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Shorter values are sent whole. */
-#define LONG_BYTES 4096
-/* Former values together; one is kept however long it is. */
-#define FORMER_BYTES (4u * 1024 * 1024)
+/* Shorter values are sent in full. */
+#define LONG_VALUE_BYTES 4096
+/* Limit of all previous values together; one is kept whatever its length. */
+#define PREV_VALUES_BYTES (4u * 1024 * 1024)
 #define VALUE_MAX (8u * 1024 * 1024)
 
 static void
-drop_oldest(former_t *f)
+drop_oldest(prev_values_t *v)
 {
-    free(f->value[0].key);
-    free(f->value[0].value);
-    f->n--;
-    memmove(&f->value[0], &f->value[1], f->n * sizeof(f->value[0]));
+    free(v->value[0].key);
+    free(v->value[0].value);
+    v->n--;
+    memmove(&v->value[0], &v->value[1], v->n * sizeof(v->value[0]));
 }
 
 void
-former_free(former_t *f)
+prev_values_free(prev_values_t *v)
 {
-    while (f->n > 0) {
-        drop_oldest(f);
+    while (v->n > 0) {
+        drop_oldest(v);
     }
 }
 
 static size_t
-bytes_of(const former_t *f)
+total_bytes(const prev_values_t *v)
 {
     size_t bytes = 0;
 
-    for (uint32_t i = 0; i < f->n; i++) {
-        bytes += strlen(f->value[i].value);
+    for (uint32_t i = 0; i < v->n; i++) {
+        bytes += strlen(v->value[i].value);
     }
     return bytes;
 }
 
 void
-former_keep(former_t *f, const store_item_t *item)
+prev_values_add(prev_values_t *v, const store_item_t *item)
 {
     store_item_t copy = {.revision = item->revision};
 
-    if (item->value == NULL || strlen(item->value) < LONG_BYTES) {
+    if (item->value == NULL || strlen(item->value) < LONG_VALUE_BYTES) {
         return;
     }
-    if (f->n == FORMER_MAX) {
-        drop_oldest(f);
+    if (v->n == PREV_VALUES_MAX) {
+        drop_oldest(v);
     }
     copy.key = strdup(item->key);
     copy.value = strdup(item->value);
-    if (copy.key == NULL || copy.value == NULL) { /* it is sent whole then */
+    if (copy.key == NULL ||
+        copy.value == NULL) { /* the value is then sent in full */
         free(copy.key);
         free(copy.value);
         return;
     }
-    f->value[f->n++] = copy;
-    while (f->n > 1 && bytes_of(f) > FORMER_BYTES) {
-        drop_oldest(f);
+    v->value[v->n++] = copy;
+    while (v->n > 1 && total_bytes(v) > PREV_VALUES_BYTES) {
+        drop_oldest(v);
     }
 }
 
 const store_item_t *
-former_find(const former_t *f, const char *key, uint64_t after)
+prev_values_find(const prev_values_t *v, const char *key, uint64_t after)
 {
-    for (uint32_t i = f->n; i-- > 0;) {
-        const store_item_t *it = &f->value[i];
+    for (uint32_t i = v->n; i-- > 0;) {
+        const store_item_t *it = &v->value[i];
         if (it->revision <= after && strcmp(it->key, key) == 0) {
             return it;
         }
@@ -88,7 +89,7 @@
 }
 
 char *
-difference_make(const char *from, const char *to)
+value_delta_make(const char *from, const char *to)
 {
     blob_t old = blob_of(from), new_ = blob_of(to), delta;
     size_t room;
@@ -109,7 +110,7 @@
 }
 
 int
-difference_apply(const char *from, const char *difference, char **to)
+value_delta_apply(const char *from, const char *difference, char **to)
 {
     size_t len = strlen(difference);
     blob_t old = blob_of(from), delta = {.data = malloc(len + 1)}, new_;
