--- a/bench/balance.cc
+++ b/bench/balance.cc
@@ -49,7 +49,7 @@
 static int
 random_choice(fleet_t &f, int service, const addr_t &)
 {
-    std::vector<int> t = f.table(service);
+    std::vector<int> t = f.active_upstreams(service);
 
     return t.empty() ? -1 : t[rng_below(&f.rng, (uint32_t)t.size())];
 }
@@ -60,7 +60,7 @@
     uint64_t key = addr_id(&client), best = 0;
     int choice = -1;
 
-    for (int u : f.table(service)) {
+    for (int u : f.active_upstreams(service)) {
         uint64_t score = hash_mix(key, f.up[u].id);
         if (choice < 0 || score > best) {
             choice = u;
@@ -72,7 +72,7 @@
 
 /* The least of reports that are read each EVERY ms; ties at random. */
 struct reports_t {
-    ms_t every;
+    ms_t interval;
     std::vector<int> load;
     ms_t read_at = -1000;
 };
@@ -82,15 +82,16 @@
 {
     int choice = -1, ties = 0;
 
-    if (f.now - r.read_at >= r.every) {
+    if (f.now - r.read_at >= r.interval) {
         r.read_at = f.now;
         r.load.clear();
         for (const upstream_t &u : f.up) {
-            r.load.push_back(u.reported >= 0 ? u.reported
-                                             : u.busy + (int)u.queue.size());
+            r.load.push_back(u.reported_busy >= 0
+                                 ? u.reported_busy
+                                 : u.busy + (int)u.queue.size());
         }
     }
-    for (int u : f.table(service)) {
+    for (int u : f.active_upstreams(service)) {
         if ((size_t)u >= r.load.size()) {
             continue;
         }
@@ -107,7 +108,7 @@
 }
 
 static fleet_options_t
-setup(const site_t &site, policy_t policy)
+policy_options(const site_t &site, policy_t policy)
 {
     fleet_options_t o;
 
@@ -127,7 +128,7 @@
     }
     else if (policy == POLICY_LEAST || policy == POLICY_IDEAL) {
         auto r = std::make_shared<reports_t>();
-        r->every = policy == POLICY_LEAST ? 1000 : 0;
+        r->interval = policy == POLICY_LEAST ? 1000 : 0;
         o.baseline = [r](fleet_t &f, int service, const addr_t &) {
             return least_choice(f, service, *r);
         };
@@ -178,11 +179,11 @@
 };
 
 static std::vector<int>
-busy(fleet_t &f, int service)
+queue_lengths(fleet_t &f, int service)
 {
     std::vector<int> v;
 
-    for (int u : f.table(service)) {
+    for (int u : f.active_upstreams(service)) {
         v.push_back(f.up[u].busy + (int)f.up[u].queue.size());
     }
     return v;
@@ -197,18 +198,18 @@
 
 struct result_t {
     spread_t spread;
-    std::vector<ms_t> waits; /* of requests answered */
+    std::vector<ms_t> latencies; /* of requests answered */
     int requests = 0, refused = 0;
 };
 
 /* Requests at RATE a second for SPAN ms; the time between two is exponential.
  */
 static result_t
-offer(fleet_t &f, int service, double rate, ms_t span)
+offer_load(fleet_t &f, int service, double rate, ms_t duration)
 {
     result_t r;
     double next = (double)f.now;
-    ms_t end = f.now + span;
+    ms_t end = f.now + duration;
     size_t first = f.calls.size();
     ms_t sample = f.now;
 
@@ -217,7 +218,7 @@
         next -= log(x) * 1000 / rate;
         while (sample < (ms_t)next && sample < end) {
             f.run_until(sample);
-            r.spread.add(busy(f, service));
+            r.spread.add(queue_lengths(f, service));
             sample += 50;
         }
         f.run_until((ms_t)next);
@@ -232,7 +233,7 @@
         r.requests++;
         r.refused += c.outcome == "not run";
         if (c.outcome == "done") {
-            r.waits.push_back(c.ended - c.started);
+            r.latencies.push_back(c.ended - c.started);
         }
     }
     return r;
@@ -243,11 +244,11 @@
 {
     printf("  %-24s %8.2f %8.2f %9.2f%% %7d %7d\n", name, r.spread.max_mean(),
            r.spread.p99_mean(), 100.0 * r.refused / r.requests,
-           (int)quantile(r.waits, 0.5), (int)quantile(r.waits, 0.99));
+           (int)quantile(r.latencies, 0.5), (int)quantile(r.latencies, 0.99));
 }
 
 static void
-requests(const site_t &site, bool frozen)
+print_request_spread(const site_t &site, bool frozen)
 {
     double slots = site.upstreams[SERVICE_MONITOR] * site.slots;
 
@@ -257,20 +258,20 @@
            frozen ? "; 5 of 15 load reports frozen at idle" : "", "policy",
            "max/mean", "p99/mean", "refused", "p50 ms", "p99 ms");
     for (int p = 0; p < POLICY_COUNT; p++) {
-        fleet_options_t o = setup(site, (policy_t)p);
+        fleet_options_t o = policy_options(site, (policy_t)p);
         o.run_ms = 200;
         o.tail = true;
         fleet_t f(o);
         for (int u = 0; frozen && u < 5; u++) {
-            f.up[u].reported = 0;
+            f.up[u].reported_busy = 0;
         }
-        result_t r = offer(f, SERVICE_MONITOR, 0.7 * slots / 0.2, 60000);
+        result_t r = offer_load(f, SERVICE_MONITOR, 0.7 * slots / 0.2, 60000);
         print_spread(policy_names[p], r);
     }
 }
 
 static void
-flood(const site_t &site)
+print_flood_latency(const site_t &site)
 {
     printf("\n%s: urgent requests at the %d archive servers, 100 ms each,\n"
            "0.3 of the slots, without and with 60 uploaders that never stop\n"
@@ -280,18 +281,18 @@
     for (int p = 0; p < POLICY_COUNT; p++) {
         ms_t wait[4];
         int refused = 0, total = 0, uploaded = 0;
-        for (int with = 0; with < 2; with++) {
-            fleet_options_t o = setup(site, (policy_t)p);
+        for (int flooded = 0; flooded < 2; flooded++) {
+            fleet_options_t o = policy_options(site, (policy_t)p);
             o.run_ms = 100;
-            o.persist = true;
+            o.repeat_uploads = true;
             fleet_t f(o);
-            for (int i = 0; with && i < 60; i++) {
+            for (int i = 0; flooded && i < 60; i++) {
                 f.open(CALL_UPLOAD, SERVICE_ARCHIVE, -1, 100);
             }
             double rate = 0.3 * 4 * site.slots / 0.1;
-            result_t r = offer(f, SERVICE_ARCHIVE, rate, 60000);
-            wait[2 * with] = quantile(r.waits, 0.5);
-            wait[2 * with + 1] = quantile(r.waits, 0.99);
+            result_t r = offer_load(f, SERVICE_ARCHIVE, rate, 60000);
+            wait[2 * flooded] = quantile(r.latencies, 0.5);
+            wait[2 * flooded + 1] = quantile(r.latencies, 0.99);
             refused = r.refused;
             total = r.requests;
             for (const call_t &c : f.calls) {
@@ -305,13 +306,13 @@
 }
 
 static void
-connections(const site_t &site)
+print_flow_spread(const site_t &site)
 {
     printf("\n%s: 3,000 long flows over 15 upstreams\n"
            "  %-24s %8s %8s\n",
            site.name, "policy", "max/mean", "p99/mean");
     for (int p = 0; p < POLICY_COUNT; p++) {
-        fleet_t f(setup(site, (policy_t)p));
+        fleet_t f(policy_options(site, (policy_t)p));
         for (int i = 0; i < 3000; i++) {
             f.open(CALL_RAW, SERVICE_RAW);
             f.run_until(f.now + 5);
@@ -319,11 +320,11 @@
         f.run_until(f.now + 3000);
         std::map<std::string, int> at;
         for (const call_t &c : f.calls) {
-            at[c.place]++;
+            at[c.upstream_epoch]++;
         }
         at.erase("");
         std::vector<int> v;
-        for (auto &[place, n] : at) {
+        for (auto &[upstream_epoch, n] : at) {
             v.push_back(n);
         }
         spread_t s;
@@ -353,7 +354,7 @@
 };
 
 static void
-broken(const site_t &site)
+print_broken(const site_t &site)
 {
     printf("\n%s: broken of 300 feeds, 300 opaque flows, 20 uploads\n"
            "(each as feeds/flows/uploads)\n  %-28s",
@@ -365,10 +366,10 @@
     for (auto &change : changes) {
         printf("  %-28s", change.name);
         for (int p = 0; p < POLICY_COUNT; p++) {
-            fleet_t f(setup(site, (policy_t)p));
-            f.play("3000 feed monitor 300\n3000 raw 300\n"
-                   "5000 upload archive 20 blocks=60\n" +
-                   std::string(change.script) + "\n60000 end");
+            fleet_t f(policy_options(site, (policy_t)p));
+            f.run_script("3000 feed monitor 300\n3000 raw 300\n"
+                         "5000 upload archive 20 blocks=60\n" +
+                         std::string(change.script) + "\n60000 end");
             char text[32];
             snprintf(text, sizeof(text), "%d/%d/%d", f.tally.broken_feeds,
                      f.tally.broken_flows, f.tally.broken_uploads);
@@ -386,11 +387,11 @@
     }
     printf("seed %llu\n", (unsigned long long)seed);
     for (const site_t &site : sites) {
-        requests(site, false);
-        requests(site, true);
-        flood(site);
-        connections(site);
-        broken(site);
+        print_request_spread(site, false);
+        print_request_spread(site, true);
+        print_flood_latency(site);
+        print_flow_spread(site);
+        print_broken(site);
     }
     return 0;
 }
--- a/test/core_prop_test.cc
+++ b/test/core_prop_test.cc
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char zeros[] =
+static const char no_violations[] =
     "twice 0, false not-run 0, misdelivered 0, crossed 0, reverts 0";
 
 static bool
@@ -20,15 +20,15 @@
                          " seed=" + std::string(seed ? seed : "4");
 
     const char *own = getenv("RC_PARAMS");
-    bool by_hand = own != NULL && strstr(own, "reproduce") != NULL;
+    bool reproducing = own != NULL && strstr(own, "reproduce") != NULL;
 
-    return setenv("RC_PARAMS", params.c_str(), !by_hand) == 0;
+    return setenv("RC_PARAMS", params.c_str(), !reproducing) == 0;
 }
 
 static const bool configured = configure();
 
 static int
-pick(int from, int to)
+random_int(int from, int to)
 {
     return *rc::gen::inRange(from, to);
 }
@@ -41,20 +41,21 @@
 
 /* A change that operators make. */
 static std::string
-planned(int up)
+random_change(int up)
 {
-    switch (pick(0, 8)) {
+    switch (random_int(0, 8)) {
     case 0:
         return "join";
     case 1:
     case 2:
-        return "leave " + num(pick(0, 2));
+        return "leave " + num(random_int(0, 2));
     case 3:
-        return "drain " + num(pick(0, up));
+        return "drain " + num(random_int(0, up));
     case 4:
-        return "undrain " + num(pick(0, up));
+        return "undrain " + num(random_int(0, up));
     case 5:
-        return "weight " + num(pick(0, up)) + " " + num(pick(1, 100));
+        return "weight " + num(random_int(0, up)) + " " +
+               num(random_int(1, 100));
     case 6:
         return "add " +
                std::string(*rc::gen::element("monitor", "archive", "raw"));
@@ -64,45 +65,45 @@
 }
 
 static std::string
-unplanned(int instances, int up)
+random_fault(int instances, int up)
 {
-    std::string i = num(pick(0, instances)), u = num(pick(0, up));
+    std::string i = num(random_int(0, instances)), u = num(random_int(0, up));
 
-    switch (pick(0, 15)) {
+    switch (random_int(0, 15)) {
     case 0:
         return "kill " + i;
     case 12:
         return "up-kill " + u;
     case 13:
-        return "deaf " + i + " " + num(pick(0, instances));
+        return "deaf " + i + " " + num(random_int(0, instances));
     case 14:
-        return "run-ms " + num(pick(20, 4000));
+        return "run-ms " + num(random_int(20, 4000));
     case 1:
-        return "kill home:P" + num(pick(1, 4));
+        return "kill home:P" + num(random_int(1, 4));
     case 2:
         return "restart " + i;
     case 3:
     case 4:
-        return "pause " + i + " " + num(pick(200, 6000));
+        return "pause " + i + " " + num(random_int(200, 6000));
     case 5:
         return "isolate " + i;
     case 6:
-        return "part " + i + " " + num(pick(0, instances));
+        return "part " + i + " " + num(random_int(0, instances));
     case 7:
         return "cut " + i + " " + u;
     case 8:
-        return "up-restart " + u + " " + num(pick(1500, 4000));
+        return "up-restart " + u + " " + num(random_int(1500, 4000));
     case 9:
-        return "recycle " + num(pick(0, 4)) + " archive";
+        return "recycle " + num(random_int(0, 4)) + " archive";
     case 10:
-        return "freeze " + u + " " + num(pick(0, 2));
+        return "freeze " + u + " " + num(random_int(0, 2));
     default:
         return "heal";
     }
 }
 
 static std::string
-load(int t)
+load_line(int t)
 {
     switch (t / 400 % 4) {
     case 0:
@@ -124,7 +125,7 @@
 
     lines.insert({4000, "post monitor 4"});
     for (int t = 4400; t < 24000; t += 400) {
-        lines.insert({t, load(t)});
+        lines.insert({t, load_line(t)});
     }
     lines.insert({4400, "raw 6"});
     lines.insert({4500, "upload archive 2 blocks=40"});
@@ -142,27 +143,29 @@
     std::multimap<int, std::string> faults;
     int up = 10;
 
-    o.seed = (uint64_t)pick(1, 1000000);
-    o.instances = pick(2, 8);
-    o.warm_ms = *rc::gen::element(0, 55000);
+    o.seed = (uint64_t)random_int(1, 1000000);
+    o.instances = random_int(2, 8);
+    o.warmup_ms = *rc::gen::element(0, 55000);
     o.loss = *rc::gen::element(0.0, 0.02, 0.15);
     o.duplicate = *rc::gen::element(0.0, 0.05);
     o.skew_ms = *rc::gen::element(300, 3000, 9000);
     o.run_ms = *rc::gen::element(20, 300, 1800, 5000);
-    int n = pick(1, 9);
+    int n = random_int(1, 9);
     for (int k = 0; k < n; k++) {
-        std::string line =
-            pick(0, 3) == 0 ? planned(up) : unplanned(o.instances, up);
-        faults.insert({pick(4010, 22000), line});
+        std::string line = random_int(0, 3) == 0
+                               ? random_change(up)
+                               : random_fault(o.instances, up);
+        faults.insert({random_int(4010, 22000), line});
     }
     std::string script = script_of(faults);
     fleet_t f(o);
-    f.play(script);
+    f.run_script(script);
     RC_LOG() << "seed " << o.seed << " instances " << o.instances << " warm "
-             << o.warm_ms << " loss " << o.loss << " duplicate " << o.duplicate
-             << " skew " << o.skew_ms << " run " << o.run_ms << "\n"
-             << script << f.promises() << std::endl;
-    RC_ASSERT(f.promises().rfind(zeros, 0) == 0);
+             << o.warmup_ms << " loss " << o.loss << " duplicate "
+             << o.duplicate << " skew " << o.skew_ms << " run " << o.run_ms
+             << "\n"
+             << script << f.violations() << std::endl;
+    RC_ASSERT(f.violations().rfind(no_violations, 0) == 0);
 }
 
 /* Only what operators plan: nothing is cut, nothing is left unanswered. */
@@ -171,17 +174,17 @@
     fleet_options_t o;
     std::multimap<int, std::string> changes;
 
-    o.seed = (uint64_t)pick(1, 1000000);
-    o.instances = pick(3, 8);
+    o.seed = (uint64_t)random_int(1, 1000000);
+    o.instances = random_int(3, 8);
     o.skew_ms = *rc::gen::element(300, 3000);
     o.run_ms = *rc::gen::element(20, 300);
-    int n = pick(1, 7);
+    int n = random_int(1, 7);
     for (int k = 0; k < n; k++) {
-        changes.insert({pick(4010, 22000), planned(10)});
+        changes.insert({random_int(4010, 22000), random_change(10)});
     }
     std::string script = script_of(changes);
     fleet_t f(o);
-    f.play(script);
+    f.run_script(script);
     tally_t &t = f.tally;
     RC_LOG() << "seed " << o.seed << " instances " << o.instances << " skew "
              << o.skew_ms << " run " << o.run_ms << "\n"
@@ -189,8 +192,8 @@
              << " uploads " << t.broken_uploads << " flows " << t.broken_flows
              << " unknown " << t.unknown << " timeouts " << t.timeouts
              << std::endl;
-    RC_ASSERT(f.promises().rfind(zeros, 0) == 0);
-    RC_ASSERT(t.drain_work == 0);
+    RC_ASSERT(f.violations().rfind(no_violations, 0) == 0);
+    RC_ASSERT(t.late_drain_work == 0);
     RC_ASSERT(t.broken_feeds + t.broken_uploads + t.broken_flows == 0);
     RC_ASSERT(t.unknown + t.timeouts == 0);
 }
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -8,13 +8,14 @@
 #include <unistd.h>
 #include <string.h>
 
-static const char zeros[] =
+static const char no_violations[] =
     "twice 0, false not-run 0, misdelivered 0, crossed 0, reverts 0, "
     "late work on leaving 0";
 
 /* Every call of KIND whose outcome differs from WANT, a line each. */
 static std::string
-others(const fleet_t &f, call_kind_t kind, const std::string &want)
+unexpected_outcomes(const fleet_t &f, call_kind_t kind,
+                    const std::string &want)
 {
     std::string s;
 
@@ -29,15 +30,15 @@
 /* Plays SCRIPT under seeds 1 to SEEDS: the promises hold, and what CHECK
  * looks for. */
 static void
-each_seed(fleet_options_t o, int seeds, const char *script,
+run_seeds(fleet_options_t o, int seeds, const char *script,
           void (*check)(fleet_t &) = nullptr)
 {
     for (int seed = 1; seed <= seeds; seed++) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         o.seed = (uint64_t)seed;
         fleet_t f(o);
-        f.play(script);
-        EXPECT_EQ(zeros, f.promises());
+        f.run_script(script);
+        EXPECT_EQ(no_violations, f.violations());
         if (check != nullptr) {
             check(f);
         }
@@ -46,28 +47,28 @@
 
 /* A fleet that has just started: no home is sure of anything. */
 static fleet_options_t
-cold(void)
+no_warmup(void)
 {
     fleet_options_t o;
 
-    o.warm_ms = 0;
+    o.warmup_ms = 0;
     return o;
 }
 
 static void
-nothing_cut(fleet_t &f)
+expect_nothing_broken(fleet_t &f)
 {
-    EXPECT_EQ("", others(f, CALL_FEED, "live"));
-    EXPECT_EQ("", others(f, CALL_RAW, "live"));
-    EXPECT_EQ("", others(f, CALL_UPLOAD, "done"));
-    EXPECT_EQ("", others(f, CALL_POST, "done"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_FEED, "live"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_RAW, "live"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_UPLOAD, "done"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_POST, "done"));
 }
 
 /* A healthy fleet first: without faults everything is answered. */
 TEST(Fleet, AnswersEverythingWithoutFaults)
 {
     fleet_t f(fleet_options_t{});
-    f.play(R"(
+    f.run_script(R"(
         4000  feed monitor
         4000  raw
         4500  post monitor
@@ -79,7 +80,7 @@
                           "P3 done, ran 1\n"
                           "R4 done\n"
                           "U5 done\n") +
-                  zeros + "\n",
+                  no_violations + "\n",
               f.report());
 }
 
@@ -87,12 +88,12 @@
  * The caller sees its feed stop, or its archive refused half way.  A new
  * version moves buckets, or a new instance takes the flow's next datagram,
  * and the choice made there differs from the one made at opening. */
-TEST(Hazard1, FlowsSurviveStrangersAndUnevenVersions)
+TEST(Hazard1, FlowsSurviveOtherInstancesAndVersionSkew)
 {
     fleet_options_t o;
     o.skew_ms = 3000;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 30
         4000  raw 30
         5000  upload archive 6 blocks=60
@@ -108,16 +109,16 @@
         16000 join
         17000 leave 1
         60000 end)",
-              nothing_cut);
+              expect_nothing_broken);
 }
 
 /* 2. "Not run" that ran.
  * The caller reads "not run" and files the setpoint again; it lands twice.
  * Copy 1 went through the home, which then died; the retransmission reaches
  * the next home, which can't reach that upstream and would refuse. */
-TEST(Hazard2, NewHomeDoesNotSayNotRunOfWhatRan)
+TEST(Hazard2, NewOwnerDoesNotReportNotRunForAnExecutedRequest)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 post monitor
         5100 kill home:P1
@@ -134,7 +135,7 @@
 
 /* Has an upstream taken a block of upload ID? */
 static bool
-block_taken(const fleet_t &f, const std::string &id)
+block_received(const fleet_t &f, const std::string &id)
 {
     for (const upstream_t &u : f.up) {
         for (const auto &it : u.uploads) {
@@ -147,10 +148,10 @@
 }
 
 static void
-no_taken_block_is_not_run(fleet_t &f)
+expect_no_not_run_for_received_blocks(fleet_t &f)
 {
     for (const call_t &c : f.calls) {
-        if (c.kind == CALL_UPLOAD && block_taken(f, c.id)) {
+        if (c.kind == CALL_UPLOAD && block_received(f, c.id)) {
             EXPECT_NE("not run", c.outcome) << c.id;
         }
     }
@@ -160,9 +161,9 @@
  * dies before the answer.  The block comes again to the next home, which can't
  * use that upstream: "not run" would be false, since a block is there.  The
  * caller is told to start again. */
-TEST(Hazard2, NewHomeDoesNotSayNotRunOfATakenBlock)
+TEST(Hazard2, NewOwnerDoesNotReportNotRunForAReceivedBlock)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 upload archive blocks=6
         5100 kill home:U1
@@ -170,29 +171,29 @@
         5100 cut-all 5
         5100 cut-all 6
         60000 end)",
-              no_taken_block_is_not_run);
+              expect_no_not_run_for_received_blocks);
 }
 
 /* 2, uploads.  The same at the home itself: the upstream that has the block is
  * given up, and no other may be chosen. */
-TEST(Hazard2, AHomeDoesNotSayNotRunOfABlockThatItPassedOn)
+TEST(Hazard2, OwnerDoesNotReportNotRunForAForwardedBlock)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 upload archive blocks=6
         5100 cut-all 4
         5100 cut-all 5
         5100 cut-all 6
         60000 end)",
-              no_taken_block_is_not_run);
+              expect_no_not_run_for_received_blocks);
 }
 
 /* 2, short pause.  The home sleeps 1.7 s, longer than its peers' patience.
  * They forward copy 1 at the next home; the sleeper, sure that nothing has
  * happened, reads copy 2 and has no room for it. */
-TEST(Hazard2, SleeperThatWasReplacedDoesNotSayNotRun)
+TEST(Hazard2, ReplacedOwnerDoesNotReportNotRunAfterAPause)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 300
         4500 post monitor client=9
         5000 pause home:P1 1700
@@ -207,7 +208,7 @@
  * more than the trust in its upstreams.  Its peers forward copies meanwhile;
  * when it wakes, before its clock ticks and before it hears that it was
  * replaced, it reads the next copies. */
-TEST(Hazard2, SleeperDecidesNothingItCannotKnow)
+TEST(Hazard2, PausedOwnerMakesNoStaleDecision)
 {
     fleet_options_t o;
 
@@ -220,7 +221,7 @@
         for (int t = 5200; t < 4000 + span; t += 100) {
             script += std::to_string(t) + " post monitor 2\n";
         }
-        each_seed(o, 8, (script + "60000 end").c_str());
+        run_seeds(o, 8, (script + "60000 end").c_str());
     }
 }
 
@@ -241,21 +242,21 @@
         9000 kill home:P2
         90000 end)";
 
-    each_seed(fleet_options_t(), 10, script);
-    each_seed(cold(), 10, script);
+    run_seeds(fleet_options_t(), 10, script);
+    run_seeds(no_warmup(), 10, script);
 }
 
 /* 3, two halves.  Both halves of a cut fleet get copies of one request, each
  * with a home of its own; first choices are full, so that each home would
  * take another upstream. */
-TEST(Hazard3, TwoHomesDoNotBothForward)
+TEST(Hazard3, TwoOwnersDoNotBothForward)
 {
     fleet_options_t o;
     o.instances = 4;
     o.loss = 0.1;
     o.duplicate = 0.5;
 
-    each_seed(o, 12, R"(
+    run_seeds(o, 12, R"(
         4000 run-ms 3000
         4000 part 0 2
         4000 part 0 3
@@ -276,7 +277,7 @@
  * upstream may get the copies that follow. */
 TEST(Hazard3, DeathOfTheUpstreamEndsTheRequest)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 3000
         5000 post monitor
         6000 up-restart ran:P1 2000
@@ -294,7 +295,7 @@
 TEST(Hazard3, MessageIdMayBeUsedAgainAfterItsLifetime)
 {
     fleet_t f(fleet_options_t{});
-    f.play(R"(
+    f.run_script(R"(
         5000   post monitor client=7 mid=77 token=1
         60000  post monitor client=7 mid=77 token=2
         320000 post monitor client=7 mid=77 token=3
@@ -302,7 +303,7 @@
     EXPECT_EQ(std::string("P1 done, ran 1\n"
                           "P2 not run, ran 0\n"
                           "P3 done, ran 1\n") +
-                  zeros + "\n",
+                  no_violations + "\n",
               f.report());
 }
 
@@ -310,19 +311,19 @@
  * that has restarted since; its copy reaches an instance that has just started
  * and hears no peer, and takes the upstream for one that is new to the site.
  * Only the first instances of a site may think so.  (soak, seed 404) */
-TEST(Hazard3, RestartWithoutAPeerKnowsNoFirstListing)
+TEST(Hazard3, RestartWithoutPeersHasNoCompleteHistory)
 {
     fleet_options_t o;
     o.seed = 25;
     o.instances = 3;
-    o.warm_ms = 0;
+    o.warmup_ms = 0;
     o.loss = 0;
     o.duplicate = 0;
     o.skew_ms = 3000;
     o.run_ms = 5000;
     fleet_t f(o);
 
-    f.play(R"(
+    f.run_script(R"(
         4000 post monitor 4
         4010 deaf 1 2
         4010 leave 0
@@ -384,19 +385,19 @@
         23200 read monitor 2
         23600 post monitor 2
         75000 end)");
-    EXPECT_EQ(zeros, f.promises());
+    EXPECT_EQ(no_violations, f.violations());
 }
 
 /* 4. Wrong service.
  * Alarm acknowledgements arrive at the archive.  An address passes from one
  * service to the other while one instance holds the old version, or wakes
  * with a probe's answer that lay in its socket and is older than it looks. */
-TEST(Hazard4, RecycledAddressGetsNothingOfItsOldService)
+TEST(Hazard4, ReassignedAddressGetsNothingForItsOldService)
 {
     fleet_options_t o;
     o.skew_ms = 4000;
 
-    each_seed(o, 20, R"(
+    run_seeds(o, 20, R"(
         4000  feed monitor 6
         5000  recycle 0 archive
         5100  post monitor 20
@@ -420,13 +421,13 @@
 /* 4, slow probes.  A probe's answer takes up to 240 ms, and the upstream stops
  * as soon as it has answered.  Instances that are cut off hear of no change.
  * The trust must count from the question, or it outlasts the restart. */
-TEST(Hazard4, SlowAnswerDoesNotLengthenTrust)
+TEST(Hazard4, SlowProbeAnswerDoesNotExtendTheLease)
 {
     fleet_options_t o;
     o.jitter_ms = 240;
     o.skew_ms = 9000;
 
-    each_seed(o, 12, R"(
+    run_seeds(o, 12, R"(
         4000 run-ms 20
         4500 raw 80
         4900 isolate 2
@@ -442,7 +443,7 @@
  * A technician takes over a port whose last user is still waited for, and its
  * token too.  The first request's answer comes late and separate, so that
  * only the token could match: the second must not take it for its own. */
-TEST(Hazard5, LateAnswerIsNotTakenForAnother)
+TEST(Hazard5, LateAnswerIsNotMatchedToAnotherRequest)
 {
     static const char script[] = R"(
         4000  run-ms 7000
@@ -451,15 +452,15 @@
         9000  post monitor client=5 mid=11 token=9
         60000 end)";
 
-    each_seed(fleet_options_t(), 10, script);
-    each_seed(cold(), 10, script);
+    run_seeds(fleet_options_t(), 10, script);
+    run_seeds(no_warmup(), 10, script);
 }
 
 /* 5, epochs.  An answer from an upstream's earlier life, or to a request that
  * was cancelled, arrives when the port serves another caller. */
 TEST(Hazard5, AnswerOfAnEarlierEpochIsDropped)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000  run-ms 4000
         5000  post monitor client=5 mid=10 token=9
         7000  up-restart ran:P1 1600
@@ -473,7 +474,7 @@
  * The caller sees a feed stop or an archive cut on a planned stop.  The
  * fabric still hands datagrams to the leaving instance for 2 s, the version
  * is uneven, and only the leaving instance knew of some pins. */
-TEST(Hazard6, LeavingCutsNothing)
+TEST(Hazard6, LeavingBreaksNoFlow)
 {
     static const char script[] = R"(
         4000  feed monitor 20
@@ -493,13 +494,13 @@
         12000 post monitor 4
         60000 end)";
 
-    each_seed(fleet_options_t(), 5, script, nothing_cut);
-    each_seed(cold(), 5, script, nothing_cut);
+    run_seeds(fleet_options_t(), 5, script, expect_nothing_broken);
+    run_seeds(no_warmup(), 5, script, expect_nothing_broken);
 }
 
 /* 6, two leave, one soon after the other.  The second holds the first one's
  * pins for it, and must hand those on as well. */
-TEST(Hazard6, LeavingOneAfterTheOtherCutsNothing)
+TEST(Hazard6, SuccessiveLeavesBreakNoFlow)
 {
     fleet_options_t o;
     o.instances = 3;
@@ -509,16 +510,16 @@
                              "4500 upload archive 3 blocks=60\n"
                              "5000 leave 1\n" +
                              std::to_string(t) + " leave 0\n60000 end";
-        each_seed(o, 2, script.c_str(), nothing_cut);
+        run_seeds(o, 2, script.c_str(), expect_nothing_broken);
     }
 }
 
 /* 6, cut off.  An instance that hears neither peers nor the platform learns
  * from the upstream itself that it is leaving; and those that suspect the cut
  * off instance open no feed where an earlier version would have. */
-TEST(Hazard6, CutOffInstanceStopsNewWorkOnLeavingUpstream)
+TEST(Hazard6, IsolatedInstanceSendsNoNewWorkToDrainingUpstream)
 {
-    each_seed(fleet_options_t(), 5, R"(
+    run_seeds(fleet_options_t(), 5, R"(
         5000  isolate 2
         7000  drain 0
         14000 post monitor 60
@@ -530,17 +531,18 @@
  * A feed freezes without a word: something between the ends has lost track of
  * its flow, while new ones work.  The caller must be told, soon, and the
  * other feeds left alone. */
-TEST(Hazard7, SilentFeedIsToldAndOthersLive)
+TEST(Hazard7, SilentFeedEndsAndOthersContinue)
 {
     fleet_options_t o;
     o.feed_silent_ms = 3000;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 8
         10000 mute F3
         40000 end)",
               [](fleet_t &f) {
-                  EXPECT_EQ("F3 ended\n", others(f, CALL_FEED, "live"));
+                  EXPECT_EQ("F3 ended\n",
+                            unexpected_outcomes(f, CALL_FEED, "live"));
                   EXPECT_LT(f.calls[2].ended - f.origin, 19000);
                   EXPECT_EQ(9u, f.calls.size()); /* it opened anew */
               });
@@ -550,7 +552,7 @@
  * A change that operators made vanishes: a stale read or a peer cut off for a
  * minute brings the old version back.  And while two versions are in force,
  * one acknowledgement must not run under each. */
-TEST(Hazard8, VersionsNeverRevertAndTwoInForceDoNotRunTwice)
+TEST(Hazard8, VersionsNeverRevertAndMixedVersionsRunNothingTwice)
 {
     static const char script[] = R"(
         4000  run-ms 1500
@@ -565,7 +567,7 @@
         21000 weight 0 5
         22000 post monitor 30
         120000 end)";
-    auto newest = [](fleet_t &f) {
+    auto expect_newest_version = [](fleet_t &f) {
         for (const instance_t &n : f.inst) {
             EXPECT_EQ(5u, core_version(n.core)) << n.name;
         }
@@ -573,9 +575,9 @@
     fleet_options_t o;
 
     o.loss = 0.1;
-    each_seed(o, 10, script, newest);
-    o.warm_ms = 0;
-    each_seed(o, 10, script, newest);
+    run_seeds(o, 10, script, expect_newest_version);
+    o.warmup_ms = 0;
+    run_seeds(o, 10, script, expect_newest_version);
 }
 
 /* 9. Two faults at once, each pair of them, under load.  Whatever is lost,
@@ -602,7 +604,7 @@
         script += std::string(second) + "\n6200 post monitor 10\n"
                                         "8000 heal\n"
                                         "8100 post monitor 10\n60000 end";
-        each_seed(o, 1, script.c_str());
+        run_seeds(o, 1, script.c_str());
     }
 }
 
@@ -614,32 +616,33 @@
     fleet_options_t o;
     o.instances = 7;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 60
         4000  raw 60
         5000  upload archive 3 blocks=60
         9000  kill 2
         60000 end)",
-              nothing_cut);
+              expect_nothing_broken);
 }
 
 /* 9, death of an upstream.  Its own feeds are lost, and their callers are
  * told within seconds; nobody else's are. */
 TEST(Hazard9, DeathOfAnUpstreamEndsItsOwnFeedsAlone)
 {
-    each_seed(fleet_options_t(), 5, "4000 feed monitor 40\n9000 end",
+    run_seeds(fleet_options_t(), 5, "4000 feed monitor 40\n9000 end",
               [](fleet_t &f) {
                   ms_t died = f.now;
                   std::string own;
                   for (const call_t &c : f.calls) {
-                      own += f.holder(c.id) == 1 ? c.id + " ended\n" : "";
+                      own +=
+                          f.feed_upstream(c.id) == 1 ? c.id + " ended\n" : "";
                   }
                   EXPECT_NE("", own);
                   f.kill_upstream(1);
                   f.run_until(f.now + 30000);
-                  EXPECT_EQ(own, others(f, CALL_FEED, "live"));
+                  EXPECT_EQ(own, unexpected_outcomes(f, CALL_FEED, "live"));
                   for (const call_t &c : f.calls) {
-                      EXPECT_LT(c.over ? c.ended - died : 0, 4000) << c.id;
+                      EXPECT_LT(c.finished ? c.ended - died : 0, 4000) << c.id;
                   }
               });
 }
@@ -647,7 +650,7 @@
 /* Opens N requests, one each 50 ms: half of what 4 x 2 slots can do in
  * 200 ms each.  Returns how many ran at upstream PLACE ("0/1"). */
 static int
-load_at(fleet_t &f, int n, const std::string &place)
+count_runs_at(fleet_t &f, int n, const std::string &upstream_epoch)
 {
     int at = 0;
 
@@ -657,8 +660,8 @@
     }
     f.run_until(f.now + 20000);
     for (const call_t &c : f.calls) {
-        for (const std::string &where : f.runs[c.id]) {
-            at += where == place;
+        for (const std::string &run : f.runs[c.id]) {
+            at += run == upstream_epoch;
         }
     }
     return at;
@@ -668,42 +671,43 @@
  * One upstream's report is frozen at idle, so that the least loaded of the
  * reports draws everything; it sheds, and callers are refused while others
  * have room.  What an instance sees itself must count more. */
-TEST(Hazard10, FrozenReportDoesNotDrawEverything)
+TEST(Hazard10, FrozenLoadReportDoesNotAttractAllRequests)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
-        EXPECT_LT(load_at(f, 600, "0/1"), 300); /* its fair share is 150 */
+    run_seeds(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
+        EXPECT_LT(count_runs_at(f, 600, "0/1"),
+                  300); /* its fair share is 150 */
         EXPECT_EQ(600, f.tally.done);
-        EXPECT_EQ(zeros, f.promises());
+        EXPECT_EQ(no_violations, f.violations());
     });
 }
 
 /* 10, frozen high.  A report that is stuck at "full" must not keep work from
  * an idle upstream for good. */
-TEST(Hazard10, ReportStuckHighDoesNotStarve)
+TEST(Hazard10, LoadReportStuckHighDoesNotStarveTheUpstream)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
+    run_seeds(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
               [](fleet_t &f) {
-                  EXPECT_GT(load_at(f, 600, "0/1"), 75); /* fair: 150 */
-                  EXPECT_EQ(zeros, f.promises());
+                  EXPECT_GT(count_runs_at(f, 600, "0/1"), 75); /* fair: 150 */
+                  EXPECT_EQ(no_violations, f.violations());
               });
 }
 
 /* 10, cold.  An upstream that has just started looks idle to all instances at
  * once, and must not draw everything. */
-TEST(Hazard10, ColdUpstreamDoesNotDrawEverything)
+TEST(Hazard10, RestartedUpstreamDoesNotAttractAllRequests)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
-        EXPECT_LT(load_at(f, 60, "0/2"), 15); /* its fair share is 15 */
-        EXPECT_EQ(zeros, f.promises());
+    run_seeds(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
+        EXPECT_LT(count_runs_at(f, 60, "0/2"), 15); /* its fair share is 15 */
+        EXPECT_EQ(no_violations, f.violations());
     });
 }
 
@@ -716,12 +720,12 @@
 }
 
 /* A configuration of SERVICES with EACH upstreams. */
-struct Site {
+struct SiteConf {
     std::vector<conf_upstream_t> ups;
     std::vector<conf_service_t> services;
     conf_t conf = {};
 
-    Site(uint64_t version, uint32_t n_services, uint32_t each)
+    SiteConf(uint64_t version, uint32_t n_services, uint32_t each)
         : ups((size_t)n_services * each), services(n_services)
     {
         for (uint32_t i = 0; i < ups.size(); i++) {
@@ -743,7 +747,7 @@
 };
 
 static core_t *
-quiet_core()
+core_without_output()
 {
     core_params_t p = {.self = 1,
                        .own_addr = ipv4(0x0b000001, 7000),
@@ -759,11 +763,11 @@
 /* A site of 120,000 upstreams.  With a narrower index than they need, the
  * last ones take the places of the first, and requests go to a service they
  * aren't meant for. */
-TEST(Size, EveryUpstreamKeepsItsPlace)
+TEST(Size, EveryUpstreamKeepsItsIndex)
 {
     const uint32_t each = 10;
-    Site site(1, 7000, each);
-    core_t *c = quiet_core();
+    SiteConf site(1, 7000, each);
+    core_t *c = core_without_output();
 
     ASSERT_NE(c, nullptr);
     ASSERT_EQ(core_set_conf(c, 1000, &site.conf), 0);
@@ -778,7 +782,7 @@
 
 /* ---- Memory runs out ---- */
 
-static const size_t ROOM_MB = 128;
+static const size_t MEMORY_LIMIT_MB = 128;
 
 #ifdef __SANITIZE_ADDRESS__
 /* Its allocator takes no limit at run time: one block of more than ROOM_MB is
@@ -789,13 +793,13 @@
     return "allocator_may_return_null=1:max_allocation_size_mb=128";
 }
 
-struct LittleMemory {};
+struct MemoryLimit {};
 #else
 /* The address space may grow by ROOM_MB, while it exists. */
-struct LittleMemory {
+struct MemoryLimit {
     rlimit before;
 
-    LittleMemory()
+    MemoryLimit()
     {
         size_t pages = 0;
         FILE *f = fopen("/proc/self/statm", "r");
@@ -803,10 +807,10 @@
         fclose(f);
         getrlimit(RLIMIT_AS, &before);
         rlimit now = before;
-        now.rlim_cur = pages * (size_t)getpagesize() + (ROOM_MB << 20);
+        now.rlim_cur = pages * (size_t)getpagesize() + (MEMORY_LIMIT_MB << 20);
         setrlimit(RLIMIT_AS, &now);
     }
-    ~LittleMemory()
+    ~MemoryLimit()
     {
         setrlimit(RLIMIT_AS, &before);
     }
@@ -816,16 +820,16 @@
 /* A version needs more memory than there is.  Taken in part, it would leave
  * services without upstreams, or end the process: callers go on by the version
  * before, and a smaller one is taken later. */
-TEST(Memory, TheVersionBeforeStays)
+TEST(Memory, OutOfMemoryKeepsThePreviousVersion)
 {
-    Site small(1, 2, 3), large(2, 60000, 10), next(3, 3, 3);
+    SiteConf small(1, 2, 3), large(2, 60000, 10), next(3, 3, 3);
     std::vector<core_upstream_t> seen(20);
-    core_t *c = quiet_core();
+    core_t *c = core_without_output();
 
     ASSERT_NE(c, nullptr);
     ASSERT_EQ(core_set_conf(c, 1000, &small.conf), 0);
     {
-        [[maybe_unused]] LittleMemory little;
+        [[maybe_unused]] MemoryLimit limit;
         EXPECT_EQ(core_set_conf(c, 2000, &large.conf), -ENOMEM);
     }
     EXPECT_EQ(core_version(c), 1u);
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -11,9 +11,9 @@
 
 static const uint8_t peer_key[PEER_KEY_LEN] = {7};
 static const ms_t tick_ms = 50;
-static const ms_t observe_ms = 100;
-static const ms_t inbox_age_ms = 1000; /* older datagrams are dropped */
-static const ms_t leave_max_ms = 60000;
+static const ms_t view_interval_ms = 100;
+static const ms_t inbox_max_age_ms = 1000; /* older datagrams are dropped */
+static const ms_t leave_timeout_ms = 60000;
 
 static addr_t
 address(uint8_t a, uint8_t b, int host, uint16_t port)
@@ -50,9 +50,9 @@
 }
 
 void
-fleet_t::after(ms_t span, std::function<void()> fn)
+fleet_t::after(ms_t duration, std::function<void()> fn)
 {
-    at(now + span, std::move(fn));
+    at(now + duration, std::move(fn));
 }
 
 void
@@ -68,7 +68,7 @@
 }
 
 void
-fleet_t::note(const char *fmt, ...)
+fleet_t::trace_event(const char *fmt, ...)
 {
     char line[256];
     va_list ap;
@@ -89,18 +89,18 @@
 }
 
 bool
-fleet_t::is_cut(int a, int b) const
+fleet_t::is_disconnected(int a, int b) const
 {
-    return cuts.count({a, b}) > 0;
+    return disconnected.count({a, b}) > 0;
 }
 
 /* One datagram from FROM to TO: lost, delayed, out of order or doubled. */
 void
-fleet_t::carry(int from, int to, std::function<void()> fn)
+fleet_t::transmit(int from, int to, std::function<void()> fn)
 {
     int copies = chance(opt.duplicate) ? 2 : 1;
 
-    if (is_cut(from, to) || chance(loss)) {
+    if (is_disconnected(from, to) || chance(loss)) {
         return;
     }
     for (int k = 0; k < copies; k++) {
@@ -109,24 +109,24 @@
 }
 
 void
-fleet_t::cut_one_way(int from, int to)
+fleet_t::disconnect_one_way(int from, int to)
 {
-    note("cut %d %d", from, to);
-    cuts.insert({from, to});
+    trace_event("cut %d %d", from, to);
+    disconnected.insert({from, to});
 }
 
 void
-fleet_t::cut(int a, int b)
+fleet_t::disconnect(int a, int b)
 {
-    cut_one_way(a, b);
-    cut_one_way(b, a);
+    disconnect_one_way(a, b);
+    disconnect_one_way(b, a);
 }
 
 void
-fleet_t::heal()
+fleet_t::reconnect_all()
 {
-    note("heal");
-    cuts.clear();
+    trace_event("heal");
+    disconnected.clear();
 }
 
 void
@@ -134,34 +134,34 @@
 {
     for (int j = 0; j < (int)inst.size(); j++) {
         if (j != i) {
-            cut(i, j);
+            disconnect(i, j);
         }
     }
-    cut(i, PARTY_PLATFORM);
+    disconnect(i, PARTY_PLATFORM);
 }
 
 /* ---- Configuration ---- */
 
-std::shared_ptr<fleet_t::conf_box_t>
+std::shared_ptr<fleet_t::conf_storage_t>
 fleet_t::make_conf()
 {
     static const char *const names[] = {"monitor", "archive", "raw"};
-    auto box = std::make_shared<conf_box_t>();
+    auto storage = std::make_shared<conf_storage_t>();
 
-    for (auto &[u, entry] : model) {
-        box->upstreams[model_service[u]].push_back(entry);
+    for (auto &[u, entry] : upstream_conf) {
+        storage->upstreams[upstream_service[u]].push_back(entry);
     }
     /* Sorted by name, as conf.h says: archive, monitor, raw. */
     static const int sorted[] = {SERVICE_ARCHIVE, SERVICE_MONITOR,
                                  SERVICE_RAW};
     for (int k = 0; k < SERVICE_COUNT; k++) {
         int s = sorted[k];
-        auto &list = box->upstreams[s];
+        auto &list = storage->upstreams[s];
         std::sort(list.begin(), list.end(),
                   [](const conf_upstream_t &a, const conf_upstream_t &b) {
                       return a.id < b.id;
                   });
-        conf_service_t &c = box->services[k];
+        conf_service_t &c = storage->services[k];
         c = {};
         strcpy(c.name, names[s]);
         c.addr = fleet_service_addr(s);
@@ -179,57 +179,57 @@
         c.n_upstreams = (uint32_t)list.size();
         c.upstreams = list.data();
     }
-    box->conf.version = versions.size() + 1;
-    box->conf.hash = hash_mix(box->conf.version, 99);
-    strcpy(box->conf.site, "test");
-    box->conf.drain_ms = leave_max_ms;
-    box->conf.n_services = SERVICE_COUNT;
-    box->conf.services = box->services;
-    return box;
+    storage->conf.version = versions.size() + 1;
+    storage->conf.hash = hash_mix(storage->conf.version, 99);
+    strcpy(storage->conf.site, "test");
+    storage->conf.drain_ms = leave_timeout_ms;
+    storage->conf.n_services = SERVICE_COUNT;
+    storage->conf.services = storage->services;
+    return storage;
 }
 
 void
-fleet_t::take_conf(int i, uint64_t version, ms_t when)
+fleet_t::apply_conf(int i, uint64_t version, ms_t when)
 {
     instance_t &n = inst[i];
 
-    note("version %d at %s", (int)version, n.name.c_str());
+    trace_event("version %d at %s", (int)version, n.name.c_str());
     core_set_conf(n.core, when, &versions[version - 1]->conf);
     n.version = std::max(n.version, core_version(n.core));
-    n.in_force[n.version] = when;
+    n.applied_at[n.version] = when;
 }
 
 /* An instance that starts has the versions of the last DOUBT_MS from a peer,
  * with the times at which they came into force there; when no peer can be
  * reached, the platform's last two, as if in force just now. */
 void
-fleet_t::give_history(int i)
+fleet_t::load_conf_history(int i)
 {
     for (int j = 0; j < (int)inst.size(); j++) {
-        if (j == i || !reachable(i, j) || inst[j].in_force.empty()) {
+        if (j == i || !reachable(i, j) || inst[j].applied_at.empty()) {
             continue;
         }
         if (core_history_is_complete(inst[j].core)) {
             core_history_complete(inst[i].core);
         }
-        for (auto &[version, when] : inst[j].in_force) {
-            take_conf(i, version, when);
+        for (auto &[version, when] : inst[j].applied_at) {
+            apply_conf(i, version, when);
         }
         return;
     }
-    if (founding) {
+    if (bootstrapping) {
         core_history_complete(inst[i].core);
     }
-    give_conf(i, versions.size());
+    deliver_conf(i, versions.size());
 }
 
 std::vector<int>
-fleet_t::table(int service)
+fleet_t::active_upstreams(int service)
 {
     std::vector<int> list;
 
-    for (auto &[u, entry] : model) {
-        if (model_service[u] == service && !entry.draining) {
+    for (auto &[u, entry] : upstream_conf) {
+        if (upstream_service[u] == service && !entry.draining) {
             list.push_back(u);
         }
     }
@@ -239,40 +239,40 @@
 /* A version reaches instance I, at once or when it can be reached; now and
  * then a stale read brings an old one afterwards. */
 void
-fleet_t::give_conf(int i, uint64_t version)
+fleet_t::deliver_conf(int i, uint64_t version)
 {
     instance_t &n = inst[i];
 
     if (!n.alive || n.version >= version) {
         return;
     }
-    bool access = !is_cut(i, PARTY_PLATFORM);
+    bool access = !is_disconnected(i, PARTY_PLATFORM);
     for (int j = 0; j < (int)inst.size() && !access; j++) {
         access = inst[j].version >= version && reachable(i, j);
     }
     if (n.paused || !access) {
-        after(100, [=] { give_conf(i, version); });
+        after(100, [=] { deliver_conf(i, version); });
         return;
     }
     if (n.version == 0 && version > 1) {
-        take_conf(i, version - 1, now); /* the platform keeps it */
+        apply_conf(i, version - 1, now); /* the platform keeps it */
     }
-    take_conf(i, version, now);
+    apply_conf(i, version, now);
     if (chance(0.2) && version > 1) {
         core_set_conf(n.core, now, &versions[version - 2]->conf);
     }
     if (core_version(n.core) != n.version || n.version < version) {
-        tally.reverts++;
-    }
-    for (auto &[u, entry] : model) {
-        bool all = entry.draining && up[u].drain_from == MS_NEVER;
-        for (int j = 0; j < (int)inst.size() && all; j++) {
-            all = !inst[j].alive || inst[j].paused ||
-                  is_cut(j, PARTY_PLATFORM) ||
-                  inst[j].version >= versions.size();
+        tally.version_reverts++;
+    }
+    for (auto &[u, entry] : upstream_conf) {
+        bool reached_all = entry.draining && up[u].drain_started == MS_NEVER;
+        for (int j = 0; j < (int)inst.size() && reached_all; j++) {
+            reached_all = !inst[j].alive || inst[j].paused ||
+                          is_disconnected(j, PARTY_PLATFORM) ||
+                          inst[j].version >= versions.size();
         }
-        if (all) {
-            up[u].drain_from = now;
+        if (reached_all) {
+            up[u].drain_started = now;
         }
     }
 }
@@ -282,22 +282,22 @@
 {
     versions.push_back(make_conf());
     uint64_t v = versions.size();
-    note("push version %d", (int)v);
+    trace_event("push version %d", (int)v);
     for (int i = 0; i < (int)inst.size(); i++) {
         after(20 + rng_below(&rng, (uint32_t)opt.skew_ms + 1),
-              [=] { give_conf(i, v); });
+              [=] { deliver_conf(i, v); });
     }
 }
 
 void
-fleet_t::drain(int u, bool on)
+fleet_t::set_draining(int u, bool on)
 {
-    if (model.count(u) == 0 || model[u].draining == on) {
+    if (upstream_conf.count(u) == 0 || upstream_conf[u].draining == on) {
         return;
     }
-    note("drain %d %d", u, on);
-    model[u].draining = on;
-    up[u].drain_from = MS_NEVER;
+    trace_event("drain %d %d", u, on);
+    upstream_conf[u].draining = on;
+    up[u].drain_started = MS_NEVER;
     after(rng_below(&rng, 1000), [=] { up[u].draining = on; });
     push_conf();
 }
@@ -305,9 +305,9 @@
 void
 fleet_t::set_weight(int u, int weight)
 {
-    if (model.count(u) > 0) {
-        note("weight %d %d", u, weight);
-        model[u].weight = (uint16_t)weight;
+    if (upstream_conf.count(u) > 0) {
+        trace_event("weight %d %d", u, weight);
+        upstream_conf[u].weight = (uint16_t)weight;
         push_conf();
     }
 }
@@ -316,28 +316,28 @@
 fleet_t::add_upstream(int service)
 {
     upstream_add(service);
-    note("add upstream %d to %d", (int)up.size() - 1, service);
+    trace_event("add upstream %d to %d", (int)up.size() - 1, service);
     push_conf();
 }
 
 /* The operator takes the address out, the process changes its service, and
  * the address comes back in its new place.  Nobody waits for anybody. */
 void
-fleet_t::recycle(int u, int service)
+fleet_t::reassign_upstream(int u, int service)
 {
-    if (model.count(u) == 0 || !up[u].up) {
+    if (upstream_conf.count(u) == 0 || !up[u].up) {
         return;
     }
-    note("recycle %d to %d", u, service);
-    conf_upstream_t entry = model[u];
-    model.erase(u);
+    trace_event("recycle %d to %d", u, service);
+    conf_upstream_t entry = upstream_conf[u];
+    upstream_conf.erase(u);
     push_conf();
     after(rng_below(&rng, 500),
           [=] { restart_upstream(u, TRUST_MS + opt.jitter_ms + 1, service); });
     after(1000 + rng_below(&rng, 2000), [=] {
-        model[u] = entry;
-        model[u].draining = false;
-        model_service[u] = service;
+        upstream_conf[u] = entry;
+        upstream_conf[u].draining = false;
+        upstream_service[u] = service;
         push_conf();
     });
 }
@@ -370,25 +370,25 @@
                        .max_hints = 4096,
                        .max_exchanges = opt.max_exchanges};
 
-    n.life++;
+    n.generation++;
     n.alive = true;
     n.paused = false;
     n.started = now;
     n.version = 0;
     n.inbox.clear();
-    emit_boxes.push_back({this, i});
-    n.core = core_new(&p, emit, &emit_boxes.back());
-    n.in_force.clear();
-    give_history(i);
-    int life = n.life;
-    after(rng_below(&rng, (uint32_t)tick_ms), [=] { tick(i, life); });
+    emit_contexts.push_back({this, i});
+    n.core = core_new(&p, emit, &emit_contexts.back());
+    n.applied_at.clear();
+    load_conf_history(i);
+    int generation = n.generation;
+    after(rng_below(&rng, (uint32_t)tick_ms), [=] { tick(i, generation); });
 }
 
 void
 fleet_t::stop_instance(int i)
 {
     inst[i].alive = false;
-    inst[i].life++;
+    inst[i].generation++;
     core_free(inst[i].core);
     inst[i].core = nullptr;
 }
@@ -412,11 +412,11 @@
     }
     for (int i = 0; i < opt.instances; i++) {
         start_instance(i);
-        give_members(i);
+        apply_members(i);
     }
-    founding = false;
-    run_until(now + opt.warm_ms);
-    origin = opt.warm_ms;
+    bootstrapping = false;
+    run_until(now + opt.warmup_ms);
+    origin = opt.warmup_ms;
 }
 
 fleet_t::~fleet_t()
@@ -429,20 +429,20 @@
 }
 
 void
-fleet_t::tick(int i, int life)
+fleet_t::tick(int i, int generation)
 {
     instance_t &n = inst[i];
 
-    if (n.life != life) {
+    if (n.generation != generation) {
         return;
     }
-    after(tick_ms, [=] { tick(i, life); });
+    after(tick_ms, [=] { tick(i, generation); });
     if (n.paused) {
         return;
     }
-    if ((now - n.started) / observe_ms !=
-        (now - tick_ms - n.started) / observe_ms) {
-        observe(i);
+    if ((now - n.started) / view_interval_ms !=
+        (now - tick_ms - n.started) / view_interval_ms) {
+        update_views(i);
         try_activate(i);
     }
     core_tick(n.core, now);
@@ -450,7 +450,7 @@
 
 /* A datagram for instance I: kept while it is paused, by the kernel. */
 void
-fleet_t::to_instance(int i, std::function<void(instance_t &)> fn)
+fleet_t::deliver_to_instance(int i, std::function<void(instance_t &)> fn)
 {
     instance_t &n = inst[i];
 
@@ -465,37 +465,37 @@
 }
 
 void
-fleet_t::pause(int i, ms_t span)
+fleet_t::pause(int i, ms_t duration)
 {
     if (!inst[i].alive || inst[i].paused) {
         return;
     }
-    note("pause %s %d", inst[i].name.c_str(), (int)span);
+    trace_event("pause %s %d", inst[i].name.c_str(), (int)duration);
     inst[i].paused = true;
-    int life = inst[i].life;
-    after(span, [=] {
-        if (inst[i].life == life) {
-            wake(i);
+    int generation = inst[i].generation;
+    after(duration, [=] {
+        if (inst[i].generation == generation) {
+            resume(i);
         }
     });
 }
 
 /* What waited in the sockets may be read before or after the clock is. */
 void
-fleet_t::wake(int i)
+fleet_t::resume(int i)
 {
     instance_t &n = inst[i];
-    bool tick_first = chance(0.5);
+    bool tick_before_inbox = chance(0.5);
 
-    note("wake %s", n.name.c_str());
+    trace_event("wake %s", n.name.c_str());
     n.paused = false;
-    if (tick_first) {
+    if (tick_before_inbox) {
         core_tick(n.core, now);
     }
-    std::deque<queued_t> inbox;
+    std::deque<queued_datagram_t> inbox;
     inbox.swap(n.inbox);
     for (auto &q : inbox) {
-        if (now - q.at <= inbox_age_ms) {
+        if (now - q.at <= inbox_max_age_ms) {
             q.fn();
         }
     }
@@ -506,11 +506,11 @@
 {
     int i = add_instance("entry-" + std::to_string(inst.size()));
 
-    note("join %s", inst[i].name.c_str());
+    trace_event("join %s", inst[i].name.c_str());
     inst[i].state = MEMBER_JOINING;
     inst[i].in_fabric = false;
     start_instance(i);
-    give_members(i);
+    apply_members(i);
     return i;
 }
 
@@ -522,14 +522,15 @@
     if (!n.alive) {
         return;
     }
-    note("restart %s", n.name.c_str());
+    trace_event("restart %s", n.name.c_str());
     stop_instance(i);
     n.incarnation++;
     n.state = MEMBER_JOINING;
-    n.view.assign(inst.size(), view_t());
-    n.doubt = now; /* peers tell that its earlier life did not end cleanly */
+    n.view.assign(inst.size(), peer_view_t());
+    n.uncertain_at =
+        now; /* peers tell that its earlier life did not end cleanly */
     start_instance(i);
-    give_members(i);
+    apply_members(i);
 }
 
 /* Known by all that it can reach, and they by it: it becomes a home. */
@@ -545,16 +546,16 @@
         if (j == i || !inst[j].alive || inst[j].paused || !reachable(i, j)) {
             continue;
         }
-        const view_t &there = inst[j].view[i];
-        if (!there.known || there.incarnation != n.incarnation ||
+        const peer_view_t &peer_view = inst[j].view[i];
+        if (!peer_view.known || peer_view.incarnation != n.incarnation ||
             !n.view[j].known) {
             return;
         }
     }
-    note("active %s", n.name.c_str());
+    trace_event("active %s", n.name.c_str());
     n.state = MEMBER_ACTIVE;
     n.in_fabric = true;
-    give_members(i);
+    apply_members(i);
 }
 
 void
@@ -565,32 +566,32 @@
     if (!n.alive || n.paused || n.state != MEMBER_ACTIVE) {
         return;
     }
-    note("leave %s", n.name.c_str());
+    trace_event("leave %s", n.name.c_str());
     n.state = MEMBER_LEAVING;
     core_leave(n.core, now);
-    give_members(i);
+    apply_members(i);
     after(500 + rng_below(&rng, (uint32_t)opt.fabric_lag_ms),
           [=] { inst[i].in_fabric = false; });
-    int life = n.life;
-    at(now + opt.fabric_lag_ms + 1000, [=] { try_stop(i, life); });
+    int generation = n.generation;
+    at(now + opt.fabric_lag_ms + 1000, [=] { try_stop(i, generation); });
 }
 
 void
-fleet_t::try_stop(int i, int life)
+fleet_t::try_stop(int i, int generation)
 {
     instance_t &n = inst[i];
     uint32_t exchanges, pins;
 
-    if (n.life != life) {
+    if (n.generation != generation) {
         return;
     }
     core_pending(n.core, &exchanges, &pins);
     bool done = exchanges == 0 && pins == 0 && !n.in_fabric;
-    if (n.paused || (!done && now - n.started < leave_max_ms * 100)) {
-        after(200, [=] { try_stop(i, life); });
+    if (n.paused || (!done && now - n.started < leave_timeout_ms * 100)) {
+        after(200, [=] { try_stop(i, generation); });
         return;
     }
-    note("stop %s", n.name.c_str());
+    trace_event("stop %s", n.name.c_str());
     n.left = true;
     stop_instance(i);
 }
@@ -601,7 +602,7 @@
     if (!inst[i].alive) {
         return;
     }
-    note("kill %s", inst[i].name.c_str());
+    trace_event("kill %s", inst[i].name.c_str());
     stop_instance(i);
     after(500 + rng_below(&rng, (uint32_t)opt.fabric_lag_ms),
           [=] { inst[i].in_fabric = false; });
@@ -631,16 +632,18 @@
 bool
 fleet_t::reachable(int i, int j)
 {
-    auto joined = [&](int a, int b) { return !is_cut(a, b) && !is_cut(b, a); };
+    auto connected = [&](int a, int b) {
+        return !is_disconnected(a, b) && !is_disconnected(b, a);
+    };
     if (!inst[j].alive || inst[j].paused || !inst[i].alive) {
         return false;
     }
-    if (joined(i, j)) {
+    if (connected(i, j)) {
         return true;
     }
     for (int k = 0; k < (int)inst.size(); k++) {
         if (k != i && k != j && inst[k].alive && !inst[k].paused &&
-            joined(i, k) && joined(k, j)) {
+            connected(i, k) && connected(k, j)) {
             return true;
         }
     }
@@ -657,23 +660,23 @@
     if (!n.alive || n.paused || n.incarnation > suspected) {
         return;
     }
-    note("%s refutes", n.name.c_str());
+    trace_event("%s refutes", n.name.c_str());
     n.incarnation = suspected + 1;
-    n.doubt = now;
-    give_members(j);
+    n.uncertain_at = now;
+    apply_members(j);
 }
 
 /* What I hears of J, which answers. */
 bool
-fleet_t::hear(int i, int j)
+fleet_t::receive_update(int i, int j)
 {
     instance_t &n = inst[i];
-    view_t &v = n.view[j];
+    peer_view_t &v = n.view[j];
     const instance_t &peer = inst[j];
     bool suspect = v.known && v.state == MEMBER_SUSPECT;
 
-    v.heard = now;
-    if (!chance(opt.hear)) {
+    v.last_heartbeat = now;
+    if (!chance(opt.update_chance)) {
         return false;
     }
     if (suspect && v.incarnation == peer.incarnation) {
@@ -685,7 +688,7 @@
                 v.incarnation == peer.incarnation && v.version == peer.version;
     if (v.known && v.incarnation != peer.incarnation &&
         v.state != MEMBER_GONE) {
-        n.doubt = now;
+        n.uncertain_at = now;
     }
     if (!same) {
         v = {true, peer.state, peer.incarnation, peer.version, now, now};
@@ -695,63 +698,63 @@
 
 /* I's belief about J takes one step.  True when something changed. */
 bool
-fleet_t::observe_one(int i, int j)
+fleet_t::update_view(int i, int j)
 {
     instance_t &n = inst[i];
-    view_t &v = n.view[j];
+    peer_view_t &v = n.view[j];
     const instance_t &peer = inst[j];
-    ms_t patience = opt.suspect_ms + (ms_t)((i * 7 + j * 13) % 5) * 100;
+    ms_t timeout = opt.suspect_ms + (ms_t)((i * 7 + j * 13) % 5) * 100;
 
     if (reachable(i, j)) {
-        return hear(i, j);
+        return receive_update(i, j);
     }
     if (!v.known || v.state == MEMBER_GONE) {
         return false;
     }
     bool left = v.state == MEMBER_LEAVING && peer.left;
     bool dead = v.state == MEMBER_SUSPECT && !peer.alive &&
-                now - v.changed > opt.gone_ms;
+                now - v.changed_at > opt.gone_ms;
     if (left || dead) {
         v.state = MEMBER_GONE;
-        v.changed = now;
+        v.changed_at = now;
         return true;
     }
     if (v.state == MEMBER_SUSPECT) {
-        n.doubt = now;
+        n.uncertain_at = now;
         return false;
     }
-    if (now - v.heard <= patience) {
+    if (now - v.last_heartbeat <= timeout) {
         return false;
     }
     v.state = MEMBER_SUSPECT;
-    v.changed = n.doubt = now;
+    v.changed_at = n.uncertain_at = now;
     return true;
 }
 
 void
-fleet_t::observe(int i)
+fleet_t::update_views(int i)
 {
     bool changed = false;
 
     for (int j = 0; j < (int)inst.size(); j++) {
-        if (j != i && observe_one(i, j)) {
+        if (j != i && update_view(i, j)) {
             changed = true;
         }
     }
     if (changed) {
-        give_members(i);
+        apply_members(i);
     }
 }
 
 void
-fleet_t::give_members(int i)
+fleet_t::apply_members(int i)
 {
     instance_t &n = inst[i];
     std::vector<member_t> list;
     uint64_t lowest = n.version;
 
     for (int j = 0; j < (int)inst.size(); j++) {
-        view_t v = n.view[j];
+        peer_view_t v = n.view[j];
         if (j == i) {
             v = {true, n.state, n.incarnation, n.version, now, n.started};
         }
@@ -767,7 +770,7 @@
         m.incarnation = v.incarnation;
         m.state = v.state;
         m.version = v.version;
-        m.changed_at = v.changed;
+        m.changed_at = v.changed_at;
         list.push_back(m);
         if (v.state != MEMBER_GONE) {
             lowest = std::min(lowest, v.version);
@@ -776,24 +779,25 @@
     std::sort(
         list.begin(), list.end(),
         [](const member_t &a, const member_t &b) { return a.id < b.id; });
-    core_set_members(n.core, now, list.data(), list.size(), n.doubt, lowest);
+    core_set_members(n.core, now, list.data(), list.size(), n.uncertain_at,
+                     lowest);
 }
 
 /* The instance that forwarded a request; else the home of its flow. */
 int
-fleet_t::home_of(const call_t &c)
+fleet_t::owner_of(const call_t &c)
 {
     addr_t service = fleet_service_addr(c.service);
-    uint64_t home = 0;
+    uint64_t owner = 0;
 
-    if (forwarder.count(c.id) > 0) {
-        return forwarder[c.id];
+    if (last_forwarder.count(c.id) > 0) {
+        return last_forwarder[c.id];
     }
     for (auto &n : inst) {
-        home = n.alive ? core_home(n.core, &service, &c.client) : home;
+        owner = n.alive ? core_home(n.core, &service, &c.client) : owner;
     }
     for (int i = 0; i < (int)inst.size(); i++) {
-        if (inst[i].id == home) {
+        if (inst[i].id == owner) {
             return i;
         }
     }
@@ -805,13 +809,13 @@
 void
 fleet_t::emit(void *arg, const core_out_t *out)
 {
-    auto *box = static_cast<emit_box_t *>(arg);
+    auto *context = static_cast<emit_context_t *>(arg);
 
-    box->f->from_core(box->i, out);
+    context->f->send_core_output(context->i, out);
 }
 
 void
-fleet_t::from_core(int i, const core_out_t *out)
+fleet_t::send_core_output(int i, const core_out_t *out)
 {
     switch (out->kind) {
     case CORE_TO_CLIENT: {
@@ -819,13 +823,13 @@
         if (tracing &&
             coap_decode(&m, out->client.data, out->client.len) == 0 &&
             m.code >> 5 >= 4) {
-            note("%s says %d.%02d to message %u", inst[i].name.c_str(),
-                 m.code >> 5, m.code & 31, m.mid);
+            trace_event("%s says %d.%02d to message %u", inst[i].name.c_str(),
+                        m.code >> 5, m.code & 31, m.mid);
         }
         addr_t service = out->client.service, client = out->client.client;
         bytes_t data(out->client.data, out->client.data + out->client.len);
-        carry(i, PARTY_OUTSIDE,
-              [=] { client_receive(service, client, data); });
+        transmit(i, PARTY_OUTSIDE,
+                 [=] { client_receive(service, client, data); });
         break;
     }
     case CORE_TO_UPSTREAM:
@@ -839,7 +843,7 @@
 
 /* The payload ID of a datagram that asks for work; "" for others. */
 std::string
-fleet_t::work_id(const uint8_t *data, size_t len)
+fleet_t::request_id(const uint8_t *data, size_t len)
 {
     std::string text((const char *)data, len);
     coap_msg_t m;
@@ -862,18 +866,18 @@
 
     spp_write(data.data(), &out->upstream.header);
     memcpy(data.data() + SPP_LEN, out->upstream.data, out->upstream.len);
-    std::string id = work_id(out->upstream.data, out->upstream.len);
+    std::string id = request_id(out->upstream.data, out->upstream.len);
     if (!id.empty()) {
         first_forwarded.insert({id, now});
-        forwarder[id] = i;
+        last_forwarder[id] = i;
         char to[ADDR_STRLEN];
-        note("%s forwards %s to %s", inst[i].name.c_str(), id.c_str(),
-             addr_text(&out->upstream.upstream, to));
+        trace_event("%s forwards %s to %s", inst[i].name.c_str(), id.c_str(),
+                    addr_text(&out->upstream.upstream, to));
     }
     for (int u = 0; u < (int)up.size(); u++) {
         if (addr_eq(&up[u].addr, &out->upstream.upstream)) {
-            carry(i, PARTY_UPSTREAM + u,
-                  [=] { upstream_receive(u, source, data); });
+            transmit(i, PARTY_UPSTREAM + u,
+                     [=] { upstream_receive(u, source, data); });
             return;
         }
     }
@@ -886,7 +890,7 @@
     int n = peer_write(data->data(), data->size(), &out->peer.msg, peer_key);
 
     if (n < 0) {
-        note("peer_write: %d", n);
+        trace_event("peer_write: %d", n);
         return;
     }
     data->resize((size_t)n);
@@ -894,8 +898,8 @@
         if (inst[j].id != out->peer.to) {
             continue;
         }
-        carry(i, j, [=] {
-            to_instance(j, [=](instance_t &to) {
+        transmit(i, j, [=] {
+            deliver_to_instance(j, [=](instance_t &to) {
                 peer_msg_t m;
                 if (peer_read(&m, data->data(), data->size(), peer_key) == 0) {
                     core_from_peer(to.core, now, &m);
@@ -912,14 +916,14 @@
                      const bytes_t &data)
 {
     if (opt.baseline) {
-        bytes_t all(SPP_LEN + data.size());
+        bytes_t datagram(SPP_LEN + data.size());
         spp_t h = {.client = client, .service = service};
         int u = opt.baseline(*this, service.ip[15] - 1, client);
-        spp_write(all.data(), &h);
-        memcpy(all.data() + SPP_LEN, data.data(), data.size());
+        spp_write(datagram.data(), &h);
+        memcpy(datagram.data() + SPP_LEN, data.data(), data.size());
         if (u >= 0) {
-            carry(PARTY_OUTSIDE, PARTY_UPSTREAM + u,
-                  [=] { upstream_receive(u, PARTY_OUTSIDE, all); });
+            transmit(PARTY_OUTSIDE, PARTY_UPSTREAM + u,
+                     [=] { upstream_receive(u, PARTY_OUTSIDE, datagram); });
         }
         return;
     }
@@ -929,8 +933,8 @@
         if (i < 0) {
             continue;
         }
-        carry(PARTY_OUTSIDE, i, [=] {
-            to_instance(i, [=](instance_t &n) {
+        transmit(PARTY_OUTSIDE, i, [=] {
+            deliver_to_instance(i, [=](instance_t &n) {
                 core_from_client(n.core, now, &service, &client, data.data(),
                                  data.size());
             });
@@ -941,23 +945,24 @@
 void
 fleet_t::upstream_send(int u, int dest, const spp_t &h, const bytes_t &data)
 {
-    bytes_t all(SPP_LEN + data.size());
+    bytes_t datagram(SPP_LEN + data.size());
     addr_t from = up[u].addr;
     if (opt.baseline) {
-        carry(PARTY_UPSTREAM + u, PARTY_OUTSIDE,
-              [=] { client_receive(h.service, h.client, data); });
+        transmit(PARTY_UPSTREAM + u, PARTY_OUTSIDE,
+                 [=] { client_receive(h.service, h.client, data); });
         return;
     }
     int i = dest == PARTY_OUTSIDE ? fabric_pick() : dest;
 
-    if (i < 0 || muted.count(addr_id(&h.client) ^ up[u].id) > 0) {
+    if (i < 0 || blackholed.count(addr_id(&h.client) ^ up[u].id) > 0) {
         return;
     }
-    spp_write(all.data(), &h);
-    memcpy(all.data() + SPP_LEN, data.data(), data.size());
-    carry(PARTY_UPSTREAM + u, i, [=] {
-        to_instance(i, [=](instance_t &n) {
-            core_from_upstream(n.core, now, &from, all.data(), all.size());
+    spp_write(datagram.data(), &h);
+    memcpy(datagram.data() + SPP_LEN, data.data(), data.size());
+    transmit(PARTY_UPSTREAM + u, i, [=] {
+        deliver_to_instance(i, [=](instance_t &n) {
+            core_from_upstream(n.core, now, &from, datagram.data(),
+                               datagram.size());
         });
     });
 }
--- a/test/fleet_ends.cc
+++ b/test/fleet_ends.cc
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const ms_t feed_every_ms = 1000;
+static const ms_t feed_interval_ms = 1000;
 static const int feed_unacked_max = 12;
-static const ms_t feed_patience_ms = 15000;
-static const ms_t raw_every_ms = 500;
-static const ms_t raw_patience_ms = 10000;
+static const ms_t feed_timeout_ms = 15000;
+static const ms_t raw_interval_ms = 500;
+static const ms_t raw_timeout_ms = 10000;
 static const ms_t ack_timeout_ms = 2000; /* RFC 7252 4.8 */
 static const int max_retransmit = 4;
 static const ms_t max_transmit_wait_ms = 93000;
@@ -98,8 +98,8 @@
     entry.connections = 2000;
     entry.weight = 10;
     up.push_back(std::move(x));
-    model[u] = entry;
-    model_service[u] = service;
+    upstream_conf[u] = entry;
+    upstream_service[u] = service;
 }
 
 void
@@ -107,7 +107,7 @@
 {
     upstream_t &x = up[u];
 
-    note("kill upstream %d", u);
+    trace_event("kill upstream %d", u);
     x.up = false;
     x.epoch++;
     x.busy = 0;
@@ -119,25 +119,25 @@
 }
 
 void
-fleet_t::restart_upstream(int u, ms_t span, int service)
+fleet_t::restart_upstream(int u, ms_t duration, int service)
 {
     if (!up[u].up) {
         return;
     }
     kill_upstream(u);
-    after(std::max<ms_t>(span, TRUST_MS), [=] {
+    after(std::max<ms_t>(duration, TRUST_MS), [=] {
         up[u].up = true;
         up[u].up_at = now;
         up[u].draining = false;
         if (service >= 0) {
             up[u].service = service;
         }
-        note("upstream %d up, service %d", u, up[u].service);
+        trace_event("upstream %d up, service %d", u, up[u].service);
     });
 }
 
 int
-fleet_t::holder(const std::string &id)
+fleet_t::feed_upstream(const std::string &id)
 {
     for (int u = 0; u < (int)up.size(); u++) {
         for (auto &[key, feed] : up[u].feeds) {
@@ -150,13 +150,13 @@
 }
 
 void
-fleet_t::mute(const call_t &c)
+fleet_t::blackhole(const call_t &c)
 {
-    int u = holder(c.id);
+    int u = feed_upstream(c.id);
 
     if (u >= 0) {
-        note("mute %s at upstream %d", c.id.c_str(), u);
-        muted.insert(addr_id(&c.client) ^ up[u].id);
+        trace_event("mute %s at upstream %d", c.id.c_str(), u);
+        blackholed.insert(addr_id(&c.client) ^ up[u].id);
     }
 }
 
@@ -171,15 +171,15 @@
 /* Work is new to a leaving upstream unless it was forwarded to it in time:
  * a copy of a request must go where the first went. */
 void
-fleet_t::new_work(int u, const bytes_t &data)
+fleet_t::count_late_work(int u, const bytes_t &data)
 {
     const upstream_t &x = up[u];
-    std::string id = work_id(data.data(), data.size());
+    std::string id = request_id(data.data(), data.size());
 
-    if (x.drain_from != MS_NEVER &&
-        first_forwarded[id] > x.drain_from + drain_grace_ms) {
-        note("new work %s on draining upstream %d", id.c_str(), u);
-        tally.drain_work++;
+    if (x.drain_started != MS_NEVER &&
+        first_forwarded[id] > x.drain_started + drain_grace_ms) {
+        trace_event("new work %s on draining upstream %d", id.c_str(), u);
+        tally.late_drain_work++;
     }
 }
 
@@ -190,19 +190,19 @@
     spp_t h;
 
     if (!x.up || spp_read(&h, data.data(), data.size()) < 0 ||
-        muted.count(addr_id(&h.client) ^ x.id) > 0) {
+        blackholed.count(addr_id(&h.client) ^ x.id) > 0) {
         return;
     }
     bytes_t body(data.begin() + SPP_LEN, data.end());
     coap_msg_t m;
-    addr_t mine = fleet_service_addr(x.service);
+    addr_t own_service = fleet_service_addr(x.service);
     bool coap = coap_decode(&m, body.data(), body.size()) == 0;
     if (coap && upstream_control(u, source, h, m)) {
         return;
     }
-    if (!addr_eq(&h.service, &mine)) {
-        note("misdelivered to upstream %d: type %d code %d of %d", u, m.type,
-             m.code, h.client.ip[15]);
+    if (!addr_eq(&h.service, &own_service)) {
+        trace_event("misdelivered to upstream %d: type %d code %d of %d", u,
+                    m.type, m.code, h.client.ip[15]);
         tally.misdelivered++;
         return;
     }
@@ -226,14 +226,14 @@
     char text[256], addr[ADDR_STRLEN];
 
     if (m.code == COAP_GET && coap_path_is(&m, ".well-known", "load")) {
-        addr_t mine = fleet_service_addr(x.service);
+        addr_t own_service = fleet_service_addr(x.service);
         snprintf(text, sizeof(text),
                  "{\"service\":\"%s\",\"epoch\":%u,\"busy\":%d,\"queued\":%d,"
                  "\"slots\":%d,\"connections\":%d,\"draining\":%s,"
                  "\"age_ms\":%lld}",
-                 addr_text(&mine, addr), x.epoch,
-                 x.reported >= 0 ? x.reported : x.busy,
-                 x.reported >= 0 ? 0 : (int)x.queue.size(), opt.slots,
+                 addr_text(&own_service, addr), x.epoch,
+                 x.reported_busy >= 0 ? x.reported_busy : x.busy,
+                 x.reported_busy >= 0 ? 0 : (int)x.queue.size(), opt.slots,
                  (int)(x.feeds.size() + x.flows.size()),
                  x.draining ? "true" : "false", (long long)(now - x.up_at));
         std::string body = text;
@@ -259,24 +259,24 @@
     if (it == x.records.end() || now - it->second.at > EXCHANGE_MS ||
         it->second.state == record_t::QUEUED || it->second.shed) {
         record_t &t = x.records[key];
-        if (t.by.empty()) {
-            t.by = owner;
+        if (t.cancelled_by.empty()) {
+            t.cancelled_by = owner;
         }
-        t.state = record_t::BARRED;
+        t.state = record_t::CANCELLED;
         t.at = now;
-        by = t.by;
+        by = t.cancelled_by;
         auto same = [&](const job_t &j) { return j.key == key; };
         x.queue.erase(std::remove_if(x.queue.begin(), x.queue.end(), same),
                       x.queue.end());
     }
-    else if (it->second.state == record_t::BARRED) {
-        by = it->second.by;
+    else if (it->second.state == record_t::CANCELLED) {
+        by = it->second.cancelled_by;
     }
     else {
         state = it->second.state == record_t::DONE ? "done" : "running";
     }
-    note("cancel of %s %u by %s at upstream %d: %s %s", addr, mid, owner, u,
-         state, by.c_str());
+    trace_event("cancel of %s %u by %s at upstream %d: %s %s", addr, mid,
+                owner, u, state, by.c_str());
     snprintf(text, sizeof(text),
              "{\"state\":\"%s\",\"by\":\"%s\",\"epoch\":%u}", state,
              by.c_str(), x.epoch);
@@ -298,7 +298,7 @@
         if (!opening) {
             return; /* nothing is known of this flow: the caller waits */
         }
-        new_work(u, data);
+        count_late_work(u, data);
         x.flows.insert(addr_id(&h.client));
     }
     text += "@" + std::to_string(u) + "/" + std::to_string(x.epoch);
@@ -340,11 +340,11 @@
     auto it = x.records.find(key);
     if (it != x.records.end() && now - it->second.at <= EXCHANGE_MS) {
         it->second.source = source;
-        upstream_duplicate(u, it->second, h, m);
+        upstream_answer_duplicate(u, it->second, h, m);
         return;
     }
     if (m.code == COAP_GET && m.observe != COAP_NONE) {
-        new_work(u, data);
+        count_late_work(u, data);
         upstream_observe(u, source, h, m, key);
         return;
     }
@@ -352,7 +352,7 @@
     r = {};
     r.at = now;
     r.source = source;
-    new_work(u, data);
+    count_late_work(u, data);
     if (x.busy >= opt.slots && (int)x.queue.size() >= opt.queue) {
         coap_msg_t shed =
             message(m.type == COAP_T_CON ? COAP_T_ACK : COAP_T_NON,
@@ -361,7 +361,7 @@
         r.state = record_t::DONE;
         r.shed = true;
         r.answer = encode(shed);
-        note("shed %s at upstream %d", text_of(m).c_str(), u);
+        trace_event("shed %s at upstream %d", text_of(m).c_str(), u);
         upstream_send(u, source, h, r.answer);
         return;
     }
@@ -372,11 +372,11 @@
 }
 
 void
-fleet_t::upstream_duplicate(int u, record_t &r, const spp_t &h,
-                            const coap_msg_t &m)
+fleet_t::upstream_answer_duplicate(int u, record_t &r, const spp_t &h,
+                                   const coap_msg_t &m)
 {
     switch (r.state) {
-    case record_t::BARRED:
+    case record_t::CANCELLED:
         upstream_reply(u, r.source, h,
                        message(m.type == COAP_T_CON ? COAP_T_ACK : COAP_T_NON,
                                COAP_CONFLICT, m.mid, token_of(m)));
@@ -397,7 +397,7 @@
 
 /* How long a request runs; a block of an upload takes a quarter. */
 ms_t
-fleet_t::run_span(int u, const coap_msg_t &m)
+fleet_t::run_duration(int u, const coap_msg_t &m)
 {
     ms_t mean = m.block1 == COAP_NONE ? up[u].run_ms : up[u].run_ms / 4;
 
@@ -432,15 +432,15 @@
         r.state = record_t::RUNNING;
         std::string id = text_of(m);
         if (m.code == COAP_POST && m.block1 == COAP_NONE) {
-            note("run %s at upstream %d", id.c_str(), u);
+            trace_event("run %s at upstream %d", id.c_str(), u);
             auto &list = runs[id];
             list.push_back(std::to_string(u) + "/" + std::to_string(x.epoch));
-            tally.twice += list.size() > 1;
-            tally.false_not_run += refused.count(id) > 0;
+            tally.duplicate_runs += list.size() > 1;
+            tally.false_not_run += reported_not_run.count(id) > 0;
         }
         x.busy++;
         uint32_t epoch = x.epoch;
-        after(run_span(u, m), [=] { upstream_finish(u, epoch, j); });
+        after(run_duration(u, m), [=] { upstream_finish(u, epoch, j); });
     }
 }
 
@@ -481,7 +481,7 @@
         return r;
     }
     runs[text].push_back(std::to_string(u));
-    tally.twice += runs[text].size() > 1;
+    tally.duplicate_runs += runs[text].size() > 1;
     x.uploads.erase(it);
     return r;
 }
@@ -502,8 +502,8 @@
     set_text(r, body);
     record_t &rec = x.records[j.key];
     rec.state = record_t::DONE;
-    bool separate = rec.acked;
-    if (separate) { /* RFC 7252 5.2.2 */
+    bool is_separate = rec.acked;
+    if (is_separate) { /* RFC 7252 5.2.2 */
         r.type = COAP_T_CON;
         r.mid = x.next_mid++;
         record_t &out = x.records[record_key(j.header.client, r.mid) ^ 1];
@@ -514,19 +514,19 @@
     }
     rec.answer = encode(r);
     upstream_send(u, rec.source, j.header, rec.answer);
-    if (separate) {
+    if (is_separate) {
         uint16_t mid = r.mid;
         uint64_t key = record_key(j.header.client, mid) ^ 1;
         spp_t h = j.header;
         after(ack_timeout_ms,
-              [=] { upstream_separate(u, epoch, h, key, mid, 1); });
+              [=] { upstream_retransmit(u, epoch, h, key, mid, 1); });
     }
     upstream_start(u);
 }
 
 void
-fleet_t::upstream_separate(int u, uint32_t epoch, const spp_t &h, uint64_t key,
-                           uint16_t mid, int tries)
+fleet_t::upstream_retransmit(int u, uint32_t epoch, const spp_t &h,
+                             uint64_t key, uint16_t mid, int tries)
 {
     upstream_t &x = up[u];
 
@@ -539,7 +539,7 @@
     }
     upstream_send(u, r.source, h, r.answer);
     after(ack_timeout_ms << tries,
-          [=] { upstream_separate(u, epoch, h, key, mid, tries + 1); });
+          [=] { upstream_retransmit(u, epoch, h, key, mid, tries + 1); });
 }
 
 /* ---- Upstreams: feeds ---- */
@@ -560,9 +560,9 @@
         f.source = source;
         x.feeds[name] = f;
         r.observe = 1;
-        note("feed %s at upstream %d", f.id.c_str(), u);
+        trace_event("feed %s at upstream %d", f.id.c_str(), u);
         uint32_t epoch = x.epoch;
-        after(feed_every_ms, [=] { feed_tick(u, epoch, name); });
+        after(feed_interval_ms, [=] { feed_tick(u, epoch, name); });
     }
     else {
         x.feeds.erase(name);
@@ -591,7 +591,7 @@
     }
     feed_t &f = it->second;
     if (f.unacked > feed_unacked_max) {
-        note("feed %s forgotten by upstream %d", f.id.c_str(), u);
+        trace_event("feed %s forgotten by upstream %d", f.id.c_str(), u);
         x.feeds.erase(it);
         return;
     }
@@ -605,7 +605,7 @@
     m.observe = f.sequence++;
     set_text(m, f.id);
     upstream_reply(u, f.source, f.header, m);
-    after(feed_every_ms, [=] { feed_tick(u, epoch, key); });
+    after(feed_interval_ms, [=] { feed_tick(u, epoch, key); });
 }
 
 /* ---- Callers ---- */
@@ -625,7 +625,7 @@
     c.mid = (uint16_t)(1000 + n);
     c.token.assign((uint8_t *)&token, (uint8_t *)&token + 4);
     c.blocks = blocks;
-    c.started = c.heard = now;
+    c.started = c.last_received = now;
     calls.push_back(c);
     by_client[addr_id(&c.client)].push_back(n);
     if (kind == CALL_RAW) {
@@ -635,7 +635,7 @@
         after(0, [=] { call_send(n); });
     }
     if (kind == CALL_FEED) {
-        after(feed_every_ms, [=] { feed_watch(n); });
+        after(feed_interval_ms, [=] { feed_check_timeout(n); });
     }
     return calls.back();
 }
@@ -665,7 +665,8 @@
             ack_timeout_ms + rng_below(&rng, (uint32_t)ack_timeout_ms / 2);
         uint16_t mid = c.mid;
         after(max_transmit_wait_ms, [=] {
-            if (!calls[n].over && !calls[n].live && calls[n].mid == mid) {
+            if (!calls[n].finished && !calls[n].established &&
+                calls[n].mid == mid) {
                 tally.broken_uploads += calls[n].block > 0;
                 tally.timeouts++;
                 call_end(calls[n], "timeout");
@@ -673,15 +674,15 @@
         });
     }
     client_send(fleet_service_addr(c.service), c.client, encode(m));
-    call_retry(n, c.mid, c.timeout << (c.sent - 1));
+    call_schedule_copy(n, c.mid, c.timeout << (c.sent - 1));
 }
 
 void
-fleet_t::call_retry(size_t n, uint16_t mid, ms_t span)
+fleet_t::call_schedule_copy(size_t n, uint16_t mid, ms_t duration)
 {
-    after(span, [=] {
+    after(duration, [=] {
         call_t &c = calls[n];
-        if (!c.over && !c.live && !c.acked && c.mid == mid &&
+        if (!c.finished && !c.established && !c.acked && c.mid == mid &&
             c.sent <= max_retransmit) {
             call_send(n);
         }
@@ -691,14 +692,14 @@
 void
 fleet_t::call_end(call_t &c, const char *outcome)
 {
-    if (c.over) {
+    if (c.finished) {
         return;
     }
-    note("%s: %s", c.id.c_str(), outcome);
-    c.over = true;
+    trace_event("%s: %s", c.id.c_str(), outcome);
+    c.finished = true;
     c.ended = now;
     c.outcome = outcome;
-    if (c.kind == CALL_UPLOAD && opt.persist) {
+    if (c.kind == CALL_UPLOAD && opt.repeat_uploads) {
         int service = c.service;
         uint32_t blocks = c.blocks;
         after(2000, [=] { open(CALL_UPLOAD, service, -1, blocks); });
@@ -709,11 +710,11 @@
 }
 
 void
-fleet_t::said_not_run(const std::string &id)
+fleet_t::record_not_run(const std::string &id)
 {
-    refused.insert(id);
+    reported_not_run.insert(id);
     if (runs.count(id) > 0) {
-        note("%s was said not to have run, and ran", id.c_str());
+        trace_event("%s was said not to have run, and ran", id.c_str());
         tally.false_not_run++;
     }
 }
@@ -742,12 +743,12 @@
                     encode(message(COAP_T_RST, COAP_EMPTY, m.mid, {})));
         return;
     }
-    bool known = false;
+    bool matched = false;
     for (size_t n : it->second) {
         call_t &c = calls[n];
         bool mid_fits = m.type != COAP_T_ACK || c.mid == m.mid;
         if (m.code == COAP_EMPTY) {
-            if (c.mid != m.mid || c.over) {
+            if (c.mid != m.mid || c.finished) {
                 continue;
             }
             c.acked = true;
@@ -755,14 +756,14 @@
                 call_end(c, "reset");
             }
         }
-        else if (token_of(m) == c.token && mid_fits && !c.over) {
-            known = true;
+        else if (token_of(m) == c.token && mid_fits && !c.finished) {
+            matched = true;
             call_answer(n, m);
             break;
         }
     }
     if (m.type == COAP_T_CON) {
-        coap_type_t type = known ? COAP_T_ACK : COAP_T_RST;
+        coap_type_t type = matched ? COAP_T_ACK : COAP_T_RST;
         client_send(service, client,
                     encode(message(type, COAP_EMPTY, m.mid, {})));
     }
@@ -777,8 +778,8 @@
     if (m.code >> 5 == 2) {
         std::string want = c.kind == CALL_FEED ? c.id : "A" + c.id;
         if (text != want) {
-            note("%s got the answer %s", c.id.c_str(), text.c_str());
-            tally.crossed++;
+            trace_event("%s got the answer %s", c.id.c_str(), text.c_str());
+            tally.mismatched_answers++;
         }
     }
     if (c.kind == CALL_FEED) {
@@ -797,7 +798,7 @@
     if (m.code == COAP_UNAVAILABLE || m.code == COAP_CONFLICT) {
         tally.not_run++;
         call_end(c, "not run");
-        said_not_run(c.id);
+        record_not_run(c.id);
         return;
     }
     if (m.code == COAP_GW_TIMEOUT) {
@@ -840,12 +841,12 @@
     call_t &c = calls[n];
 
     if (m.code >> 5 == 2) {
-        c.live = true;
-        c.heard = now;
+        c.established = true;
+        c.last_received = now;
         c.outcome = "live";
         return;
     }
-    if (!c.live) {
+    if (!c.established) {
         tally.not_run++;
         call_end(c, "refused");
         return;
@@ -867,21 +868,21 @@
 }
 
 void
-fleet_t::feed_watch(size_t n)
+fleet_t::feed_check_timeout(size_t n)
 {
     call_t &c = calls[n];
 
-    if (c.over) {
+    if (c.finished) {
         return;
     }
-    if (c.live && now - c.heard > feed_patience_ms) {
+    if (c.established && now - c.last_received > feed_timeout_ms) {
         c.broken++;
         tally.broken_feeds++;
         call_end(c, "silent");
         reopen(n);
         return;
     }
-    after(feed_every_ms, [=] { feed_watch(n); });
+    after(feed_interval_ms, [=] { feed_check_timeout(n); });
 }
 
 void
@@ -889,19 +890,20 @@
 {
     call_t &c = calls[n];
 
-    if (c.over) {
+    if (c.finished) {
         return;
     }
-    if (c.live && now - c.heard > raw_patience_ms) {
+    if (c.established && now - c.last_received > raw_timeout_ms) {
         c.broken++;
         tally.broken_flows++;
         call_end(c, "silent");
         return;
     }
-    std::string text = c.id + "." + std::to_string(c.live ? ++c.next : 0);
+    std::string text =
+        c.id + "." + std::to_string(c.established ? ++c.sequence : 0);
     client_send(fleet_service_addr(SERVICE_RAW), c.client,
                 bytes_t(text.begin(), text.end()));
-    after(raw_every_ms, [=] { raw_tick(n); });
+    after(raw_interval_ms, [=] { raw_tick(n); });
 }
 
 /* An echo is "O5.7@PLACE"; an established flow stays in its place. */
@@ -909,44 +911,46 @@
 fleet_t::raw_answer(size_t n, const std::string &text)
 {
     call_t &c = calls[n];
-    size_t dot = text.find('.'), place = text.find('@');
+    size_t dot = text.find('.'), at_sign = text.find('@');
 
-    if (c.over || dot == std::string::npos || place == std::string::npos) {
+    if (c.finished || dot == std::string::npos ||
+        at_sign == std::string::npos) {
         return;
     }
     if (text.substr(0, dot) != c.id) {
-        tally.crossed++;
+        tally.mismatched_answers++;
         return;
     }
-    bool opening = text.substr(dot + 1, place - dot - 1) == "0";
-    std::string where = text.substr(place + 1);
-    c.heard = now;
+    bool opening = text.substr(dot + 1, at_sign - dot - 1) == "0";
+    std::string current = text.substr(at_sign + 1);
+    c.last_received = now;
     c.outcome = "live";
-    c.live = true;
+    c.established = true;
     if (opening) {
         return;
     }
-    if (!c.place.empty() && c.place != where) {
+    if (!c.upstream_epoch.empty() && c.upstream_epoch != current) {
         c.broken++;
         tally.broken_flows++;
         call_end(c, "moved");
         return;
     }
-    c.place = where;
+    c.upstream_epoch = current;
 }
 
 /* ---- Reports ---- */
 
 std::string
-fleet_t::promises()
+fleet_t::violations()
 {
     char line[256];
 
     snprintf(line, sizeof(line),
              "twice %d, false not-run %d, misdelivered %d, crossed %d, "
              "reverts %d, late work on leaving %d",
-             tally.twice, tally.false_not_run, tally.misdelivered,
-             tally.crossed, tally.reverts, tally.drain_work);
+             tally.duplicate_runs, tally.false_not_run, tally.misdelivered,
+             tally.mismatched_answers, tally.version_reverts,
+             tally.late_drain_work);
     return line;
 }
 
@@ -962,5 +966,5 @@
         }
         s += "\n";
     }
-    return s + promises() + "\n";
+    return s + violations() + "\n";
 }
--- a/test/script.cc
+++ b/test/script.cc
@@ -22,19 +22,19 @@
 }
 
 static int
-instance_of(fleet_t &f, const std::string &s)
+parse_instance(fleet_t &f, const std::string &s)
 {
     if (s.rfind("home:", 0) == 0) {
-        return f.home_of(find_call(f, s.substr(5)));
+        return f.owner_of(find_call(f, s.substr(5)));
     }
     return std::stoi(s);
 }
 
 static int
-upstream_of(fleet_t &f, const std::string &s)
+parse_upstream(fleet_t &f, const std::string &s)
 {
     if (s.rfind("holder:", 0) == 0) {
-        return f.holder(s.substr(7));
+        return f.feed_upstream(s.substr(7));
     }
     if (s.rfind("ran:", 0) == 0) {
         auto &list = f.runs[s.substr(4)];
@@ -44,7 +44,7 @@
 }
 
 static int
-service_of(const std::string &s)
+parse_service(const std::string &s)
 {
     return s == "monitor"   ? SERVICE_MONITOR
            : s == "archive" ? SERVICE_ARCHIVE
@@ -52,7 +52,7 @@
 }
 
 static call_kind_t
-kind_of(const std::string &verb)
+parse_kind(const std::string &verb)
 {
     static const std::map<std::string, call_kind_t> kinds = {
         {"post", CALL_POST},     {"read", CALL_READ}, {"feed", CALL_FEED},
@@ -63,16 +63,16 @@
 }
 
 static int
-number(const words_t &w, size_t i, int otherwise)
+int_arg(const words_t &w, size_t i, int fallback)
 {
-    return i < w.size() ? std::stoi(w[i]) : otherwise;
+    return i < w.size() ? std::stoi(w[i]) : fallback;
 }
 
 /* post SERVICE [COUNT] | post SERVICE client=N mid=N token=N */
 static void
 open_calls(fleet_t &f, const words_t &w)
 {
-    int service = w[0] == "raw" ? SERVICE_RAW : service_of(w[1]);
+    int service = w[0] == "raw" ? SERVICE_RAW : parse_service(w[1]);
     int client = -1, mid = -1, token = -1, count = 1, blocks = 8;
 
     for (size_t i = w[0] == "raw" ? 1 : 2; i < w.size(); i++) {
@@ -86,7 +86,8 @@
                            : count) = v;
     }
     for (int i = 0; i < count; i++) {
-        call_t &c = f.open(kind_of(w[0]), service, client, (uint32_t)blocks);
+        call_t &c =
+            f.open(parse_kind(w[0]), service, client, (uint32_t)blocks);
         if (mid >= 0) {
             c.mid = (uint16_t)mid;
         }
@@ -105,36 +106,37 @@
         f.join();
     }
     else if (v == "kill") {
-        f.kill(instance_of(f, w[1]));
+        f.kill(parse_instance(f, w[1]));
     }
     else if (v == "leave") {
-        f.leave(instance_of(f, w[1]));
+        f.leave(parse_instance(f, w[1]));
     }
     else if (v == "restart") {
-        f.restart_instance(instance_of(f, w[1]));
+        f.restart_instance(parse_instance(f, w[1]));
     }
     else if (v == "pause") {
-        f.pause(instance_of(f, w[1]), std::stoi(w[2]));
+        f.pause(parse_instance(f, w[1]), std::stoi(w[2]));
     }
     else if (v == "isolate") {
-        f.isolate(instance_of(f, w[1]));
+        f.isolate(parse_instance(f, w[1]));
     }
     else if (v == "cut") { /* an instance from an upstream */
-        f.cut(instance_of(f, w[1]), PARTY_UPSTREAM + upstream_of(f, w[2]));
+        f.disconnect(parse_instance(f, w[1]),
+                     PARTY_UPSTREAM + parse_upstream(f, w[2]));
     }
     else if (v == "cut-all") { /* every instance from an upstream */
         for (int i = 0; i < (int)f.inst.size(); i++) {
-            f.cut(i, PARTY_UPSTREAM + upstream_of(f, w[1]));
+            f.disconnect(i, PARTY_UPSTREAM + parse_upstream(f, w[1]));
         }
     }
     else if (v == "part") { /* two instances from each other */
-        f.cut(instance_of(f, w[1]), instance_of(f, w[2]));
+        f.disconnect(parse_instance(f, w[1]), parse_instance(f, w[2]));
     }
     else if (v == "deaf") { /* the first doesn't hear the second */
-        f.cut_one_way(instance_of(f, w[2]), instance_of(f, w[1]));
+        f.disconnect_one_way(parse_instance(f, w[2]), parse_instance(f, w[1]));
     }
     else if (v == "heal") {
-        f.heal();
+        f.reconnect_all();
     }
     else {
         return false;
@@ -151,25 +153,25 @@
         f.push_conf();
     }
     else if (v == "add") {
-        f.add_upstream(service_of(w[1]));
+        f.add_upstream(parse_service(w[1]));
     }
     else if (v == "drain" || v == "undrain") {
-        f.drain(upstream_of(f, w[1]), v == "drain");
+        f.set_draining(parse_upstream(f, w[1]), v == "drain");
     }
     else if (v == "weight") {
-        f.set_weight(upstream_of(f, w[1]), std::stoi(w[2]));
+        f.set_weight(parse_upstream(f, w[1]), std::stoi(w[2]));
     }
     else if (v == "recycle") {
-        f.recycle(upstream_of(f, w[1]), service_of(w[2]));
+        f.reassign_upstream(parse_upstream(f, w[1]), parse_service(w[2]));
     }
     else if (v == "up-restart") {
-        f.restart_upstream(upstream_of(f, w[1]), number(w, 2, TRUST_MS));
+        f.restart_upstream(parse_upstream(f, w[1]), int_arg(w, 2, TRUST_MS));
     }
     else if (v == "up-kill") {
-        f.kill_upstream(upstream_of(f, w[1]));
+        f.kill_upstream(parse_upstream(f, w[1]));
     }
     else if (v == "freeze") { /* its load report says BUSY from now on */
-        f.up[upstream_of(f, w[1])].reported = number(w, 2, 0);
+        f.up[parse_upstream(f, w[1])].reported_busy = int_arg(w, 2, 0);
     }
     else if (v == "run-ms") { /* how long requests take from now on */
         for (upstream_t &u : f.up) {
@@ -177,11 +179,11 @@
         }
     }
     else if (v == "gone") { /* its caller has left; the port may be reused */
-        find_call(f, w[1]).over = true;
+        find_call(f, w[1]).finished = true;
         find_call(f, w[1]).outcome = "gone";
     }
     else if (v == "mute") {
-        f.mute(find_call(f, w[1]));
+        f.blackhole(find_call(f, w[1]));
     }
     else {
         return false;
@@ -190,7 +192,7 @@
 }
 
 void
-fleet_t::play(const std::string &script)
+fleet_t::run_script(const std::string &script)
 {
     std::istringstream in(script);
     std::string line;
