--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -1,5 +1,5 @@
-/* fleet: time, links, the fabric, instances, the members' views and the
- * operators' actions.  fleet_ends.cc has the upstreams and the callers. */
+/* fleet: virtual time, links, the fabric, instances, membership views and
+ * operator actions.  fleet_ends.cc has the upstreams and the callers. */
 #include "test/fleet.h"
 
 #include <algorithm>
@@ -94,7 +94,7 @@
     return disconnected.count({a, b}) > 0;
 }
 
-/* One datagram from FROM to TO: lost, delayed, out of order or doubled. */
+/* Sends one datagram, which may be lost, delayed, reordered or duplicated. */
 void
 fleet_t::transmit(int from, int to, std::function<void()> fn)
 {
@@ -151,7 +151,7 @@
     for (auto &[u, entry] : upstream_conf) {
         storage->upstreams[upstream_service[u]].push_back(entry);
     }
-    /* Sorted by name, as conf.h says: archive, monitor, raw. */
+    /* Sorted by name, as conf.h requires. */
     static const int sorted[] = {SERVICE_ARCHIVE, SERVICE_MONITOR,
                                  SERVICE_RAW};
     for (int k = 0; k < SERVICE_COUNT; k++) {
@@ -199,9 +199,9 @@
     n.applied_at[n.version] = when;
 }
 
-/* An instance that starts has the versions of the last DOUBT_MS from a peer,
- * with the times at which they came into force there; when no peer can be
- * reached, the platform's last two, as if in force just now. */
+/* Loads the versions of the last DOUBT_MS from a peer, with the times at which
+ * the peer applied them.  Without a reachable peer, loads the platform's last
+ * two versions, as applied now. */
 void
 fleet_t::load_conf_history(int i)
 {
@@ -236,8 +236,8 @@
     return list;
 }
 
-/* A version reaches instance I, at once or when it can be reached; now and
- * then a stale read brings an old one afterwards. */
+/* Applies a version at instance I as soon as I can be reached.  Sometimes a
+ * stale read delivers the previous version afterwards. */
 void
 fleet_t::deliver_conf(int i, uint64_t version)
 {
@@ -255,7 +255,8 @@
         return;
     }
     if (n.version == 0 && version > 1) {
-        apply_conf(i, version - 1, now); /* the platform keeps it */
+        apply_conf(i, version - 1,
+                   now); /* the platform keeps the previous version */
     }
     apply_conf(i, version, now);
     if (chance(0.2) && version > 1) {
@@ -320,8 +321,9 @@
     push_conf();
 }
 
-/* The operator takes the address out, the process changes its service, and
- * the address comes back in its new place.  Nobody waits for anybody. */
+/* Moves an address to another service.  The operator removes the address, the
+ * process restarts with the new service, and the operator adds the address
+ * there.  None of these steps waits for another. */
 void
 fleet_t::reassign_upstream(int u, int service)
 {
@@ -448,7 +450,7 @@
     core_tick(n.core, now);
 }
 
-/* A datagram for instance I: kept while it is paused, by the kernel. */
+/* While instance I is paused, its datagrams wait in the socket buffer. */
 void
 fleet_t::deliver_to_instance(int i, std::function<void(instance_t &)> fn)
 {
@@ -480,7 +482,7 @@
     });
 }
 
-/* What waited in the sockets may be read before or after the clock is. */
+/* A resumed process may read its sockets before or after its first tick. */
 void
 fleet_t::resume(int i)
 {
@@ -527,13 +529,14 @@
     n.incarnation++;
     n.state = MEMBER_JOINING;
     n.view.assign(inst.size(), peer_view_t());
-    n.uncertain_at =
-        now; /* peers tell that its earlier life did not end cleanly */
+    /* Peers report that the previous incarnation did not stop cleanly. */
+    n.uncertain_at = now;
     start_instance(i);
     apply_members(i);
 }
 
-/* Known by all that it can reach, and they by it: it becomes a home. */
+/* A joining instance becomes active, and so may own flows, when it and all
+ * reachable instances list each other. */
 void
 fleet_t::try_activate(int i)
 {
@@ -608,7 +611,8 @@
           [=] { inst[i].in_fabric = false; });
 }
 
-/* The fabric's list lags, so that a dead one may be picked: -1. */
+/* A random instance of the fabric's list; -1 if there is none, or if it is
+ * dead, since the list is updated with a delay. */
 int
 fleet_t::fabric_pick()
 {
@@ -628,7 +632,7 @@
 
 /* ---- Members ---- */
 
-/* Heartbeats pass, directly or round one other instance. */
+/* Do heartbeats arrive, directly or through one other instance? */
 bool
 fleet_t::reachable(int i, int j)
 {
@@ -650,8 +654,8 @@
     return false;
 }
 
-/* A suspected instance hears of it and refutes: only it may raise its
- * incarnation, and only a higher one ends the suspicion. */
+/* A suspected instance refutes the suspicion by raising its incarnation.  No
+ * other instance may raise it, and only a higher one ends the suspicion. */
 void
 fleet_t::refute(int j, uint32_t suspected)
 {
@@ -666,7 +670,7 @@
     apply_members(j);
 }
 
-/* What I hears of J, which answers. */
+/* Updates I's view of J from a heartbeat.  Returns whether it changed. */
 bool
 fleet_t::receive_update(int i, int j)
 {
@@ -696,7 +700,7 @@
     return !same;
 }
 
-/* I's belief about J takes one step.  True when something changed. */
+/* One membership period of I's view of J.  Returns whether it changed. */
 bool
 fleet_t::update_view(int i, int j)
 {
@@ -783,7 +787,7 @@
                      lowest);
 }
 
-/* The instance that forwarded a request; else the home of its flow. */
+/* The last instance that forwarded the request, or else the flow's owner. */
 int
 fleet_t::owner_of(const call_t &c)
 {
@@ -804,7 +808,7 @@
     return 0;
 }
 
-/* ---- What a core sends ---- */
+/* ---- Output of a core ---- */
 
 void
 fleet_t::emit(void *arg, const core_out_t *out)
@@ -841,7 +845,7 @@
     }
 }
 
-/* The payload ID of a datagram that asks for work; "" for others. */
+/* The payload ID of a request; "" for other datagrams. */
 std::string
 fleet_t::request_id(const uint8_t *data, size_t len)
 {
@@ -909,7 +913,7 @@
     }
 }
 
-/* ---- What callers and upstreams send through the fabric ---- */
+/* ---- Datagrams through the fabric ---- */
 
 void
 fleet_t::client_send(const addr_t &service, const addr_t &client,
@@ -927,7 +931,7 @@
         }
         return;
     }
-    /* A datagram doubled on its way may reach two instances. */
+    /* The copies of a duplicated datagram may reach different instances. */
     for (int copies = chance(opt.duplicate) ? 2 : 1; copies > 0; copies--) {
         int i = fabric_pick();
         if (i < 0) {
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,7 +1,8 @@
-/* fleet: instances of the pure core in one process, between fake callers,
- * upstreams, a fabric and links, under virtual time and a seeded generator.
- * A script or a property makes the faults happen; the tally says which
- * promises were broken.  Two runs with one seed and one script are the same.
+/* fleet: a deterministic simulation of a site.  Runs several instances of
+ * core/ in one process, with simulated callers, upstreams, fabric and links,
+ * under virtual time and a seeded random number generator.  A script or a
+ * property test injects faults; the tally counts violated guarantees.  Two
+ * runs with the same seed and script are identical.
  */
 #ifndef SISKIN_TEST_FLEET_H
 #define SISKIN_TEST_FLEET_H
@@ -19,45 +20,45 @@
 
 typedef std::vector<uint8_t> bytes_t;
 
-/* The ends of a link.  Callers are one party to links: the outside. */
+/* Endpoints of a link.  All callers share one endpoint, PARTY_OUTSIDE. */
 enum { PARTY_OUTSIDE = -1, PARTY_UPSTREAM = 1000 };
 
 enum { SERVICE_MONITOR, SERVICE_ARCHIVE, SERVICE_RAW, SERVICE_COUNT };
 
 class fleet_t;
 
-/* A baseline without instances: the upstream for a caller's datagram, or -1
- * to drop it. */
+/* A load-balancing policy that replaces the instances.  Returns the upstream
+ * for a caller's datagram, or -1 to drop the datagram. */
 typedef std::function<int(fleet_t &f, int service, const addr_t &client)>
     baseline_t;
 
 struct fleet_options_t {
     uint64_t seed = 1;
     int instances = 5;
-    ms_t warmup_ms = 55000; /* it ran so long before scripts' time 0 */
+    ms_t warmup_ms =
+        55000; /* virtual time that passes before a script's time 0 */
     int upstreams[SERVICE_COUNT] = {4, 3, 3};
     int slots = 2;
     int queue = 4;
-    ms_t run_ms = 60;  /* how long an upstream works on a request */
-    bool tail = false; /* heavy-tailed, with that mean */
+    ms_t run_ms = 60;  /* time that an upstream works on a request */
+    bool tail = false; /* heavy-tailed times with mean run_ms */
     int urgent_slots[SERVICE_COUNT] = {1, 0, 0};
     prefer_t prefer = PREFER_STABILITY;
-    bool repeat_uploads =
-        false;           /* an upload that ends is followed by another */
-    baseline_t baseline; /* in place of the cores */
+    bool repeat_uploads = false; /* start a new upload when one ends */
+    baseline_t baseline;         /* replaces the cores */
     ms_t jitter_ms = 4;
     double loss = 0, duplicate = 0;
-    ms_t skew_ms = 1000;       /* a version reaches instances within this */
-    ms_t fabric_lag_ms = 2000; /* the fabric's list follows within this */
-    ms_t suspect_ms = 600;     /* member parameters, as in member.h */
+    ms_t skew_ms = 1000;       /* a version reaches all instances within it */
+    ms_t fabric_lag_ms = 2000; /* update delay of the fabric's list */
+    ms_t suspect_ms = 600;     /* membership parameters, as in member.h */
     ms_t gone_ms = 60000;
-    double update_chance =
-        0.4; /* chance that 100 ms carry a peer's state across */
+    /* Probability that a peer's state arrives within 100 ms. */
+    double update_chance = 0.4;
     uint32_t max_exchanges = 4096;
     uint32_t feed_silent_ms = 5000;
 };
 
-/* What one instance believes of another. */
+/* One instance's view of another. */
 struct peer_view_t {
     bool known = false;
     member_state_t state = MEMBER_JOINING;
@@ -80,23 +81,23 @@
     member_state_t state = MEMBER_ACTIVE;
     bool alive = true, paused = false, left = false;
     bool in_fabric = true;
-    int generation = 0; /* callbacks of an earlier life are void */
+    int generation = 0; /* callbacks of an earlier generation do nothing */
     ms_t started = 0;
     ms_t uncertain_at = INT64_MIN;
-    uint64_t version = 0; /* the highest that was ever in force here */
-    std::map<uint64_t, ms_t> applied_at; /* version to when that began */
+    uint64_t version = 0;                /* the highest ever applied here */
+    std::map<uint64_t, ms_t> applied_at; /* by version */
     std::vector<peer_view_t> view;
-    std::deque<queued_datagram_t> inbox; /* what arrived while paused */
+    std::deque<queued_datagram_t> inbox; /* received while paused */
 };
 
-/* Duplicate detection and tombstones: one for each (client, message ID). */
+/* Duplicate detection and cancellations, by (client, message ID). */
 struct record_t {
     enum { QUEUED, RUNNING, DONE, CANCELLED } state = QUEUED;
-    bool shed = false;  /* it did not start */
-    bool acked = false; /* an empty ACK went out: the answer is separate */
-    int source = 0;     /* instance, or PARTY_OUTSIDE for the return address */
+    bool shed = false;  /* rejected before it started */
+    bool acked = false; /* an empty ACK was sent, so the answer is separate */
+    int source = 0; /* instance, or PARTY_OUTSIDE: the shared return address */
     ms_t at = 0;
-    std::string cancelled_by; /* who was the first to have it barred */
+    std::string cancelled_by; /* the first canceller */
     bytes_t answer;
 };
 
@@ -123,9 +124,9 @@
     int service = 0;
     uint32_t epoch = 1;
     bool up = true, draining = false;
-    ms_t drain_started = MS_NEVER; /* no new work 4 s after this */
+    ms_t drain_started = MS_NEVER; /* new work is late 4 s after this */
     ms_t run_ms = 0, up_at = 0;
-    int busy = 0, reported_busy = -1; /* -1: the truth */
+    int busy = 0, reported_busy = -1; /* -1: the real load */
     uint16_t next_mid = 1;
     std::deque<job_t> queue;
     std::map<uint64_t, record_t> records;
@@ -136,10 +137,10 @@
 
 enum call_kind_t { CALL_POST, CALL_READ, CALL_FEED, CALL_UPLOAD, CALL_RAW };
 
-/* What a caller asked for, and what became of it. */
+/* A caller's request, feed, upload or flow, and its outcome. */
 struct call_t {
     call_kind_t kind = CALL_POST;
-    std::string id; /* the payload by which the run log knows it */
+    std::string id; /* payload that identifies the call in `runs` */
     int service = 0;
     addr_t client = {};
     uint16_t mid = 0;
@@ -149,19 +150,18 @@
     std::string outcome = "open";
     ms_t started = 0, ended = 0, last_received = 0, timeout = 0;
     uint32_t block = 0, blocks = 0, sequence = 0;
-    std::string
-        upstream_epoch; /* the upstream and epoch that hold a raw flow */
+    std::string upstream_epoch; /* of a raw flow: "UPSTREAM/EPOCH" */
     int broken = 0;
 };
 
-/* The promises, counted. */
+/* Counts of violated guarantees and of outcomes. */
 struct tally_t {
-    int duplicate_runs = 0; /* a non-idempotent request that ran again */
+    int duplicate_runs = 0; /* repeated runs of non-idempotent requests */
     int false_not_run = 0;
-    int misdelivered = 0;       /* reached an upstream of another service */
-    int mismatched_answers = 0; /* a caller took another request's answer */
+    int misdelivered = 0; /* requests at an upstream of another service */
+    int mismatched_answers = 0; /* answers matched to another request */
     int version_reverts = 0;
-    int late_drain_work = 0; /* new work on a leaving upstream, too late */
+    int late_drain_work = 0; /* new work on an upstream after its drain */
     int broken_feeds = 0, broken_uploads = 0, broken_flows = 0;
     int done = 0, not_run = 0, unknown = 0, timeouts = 0;
     hist_t answer_ms = {};
@@ -178,13 +178,13 @@
     void after(ms_t duration, std::function<void()> fn);
     void run_until(ms_t when);
 
-    /* ---- What operators and faults do ---- */
+    /* ---- Operator actions and faults ---- */
     int join();
     void leave(int i);
     void kill(int i);
-    void restart_instance(int i); /* the same name, nothing remembered */
+    void restart_instance(int i); /* same name, empty state */
     void pause(int i, ms_t duration);
-    void disconnect(int a, int b); /* either may be PARTY_UPSTREAM + u */
+    void disconnect(int a, int b); /* A or B may be PARTY_UPSTREAM + u */
     void disconnect_one_way(int from, int to);
     void reconnect_all();
     void isolate(int i); /* from all instances and the platform */
@@ -192,42 +192,42 @@
     void set_weight(int u, int weight);
     void add_upstream(int service);
     void push_conf();
-    /* Down for SPAN ms, at least TRUST_MS; then a new epoch, serving SERVICE
-     * (-1: as before). */
+    /* Down for DURATION ms, at least TRUST_MS, then up with a new epoch and
+     * SERVICE (-1: unchanged). */
     void restart_upstream(int u, ms_t duration, int service = -1);
     void kill_upstream(int u);
     void reassign_upstream(int u, int service);
-    void blackhole(const call_t &c); /* a middlebox loses track of its flow */
+    /* Drops the datagrams of C's flow at its upstream: a middlebox has lost
+     * the flow's state. */
+    void blackhole(const call_t &c);
 
-    /* ---- What callers do ---- */
-    /* The first copy goes out when the clock next moves.  CLIENT -1: a new
+    /* ---- Callers ---- */
+    /* Sends the first copy when the clock next advances.  CLIENT -1: a new
      * address. */
     call_t &open(call_kind_t kind, int service, int client = -1,
                  uint32_t blocks = 0);
 
-    /* Runs a script; script.cc has the verbs. */
+    /* script.cc describes the format. */
     void run_script(const std::string &script);
 
-    /* ---- What is seen ---- */
-    int
-    feed_upstream(const std::string &id); /* the upstream of a feed; or -1 */
-    std::vector<int>
-    active_upstreams(int service); /* upstreams not draining */
-    std::string report();          /* a line for each call, then the tally */
-    std::string violations();      /* the tally's zeros alone */
+    /* ---- Results ---- */
+    int feed_upstream(const std::string &id);       /* -1: none */
+    std::vector<int> active_upstreams(int service); /* all but draining ones */
+    std::string report();     /* one line per call, then violations() */
+    std::string violations(); /* the violation counts, on one line */
     int owner_of(const call_t &c);
 
     fleet_options_t opt;
-    ms_t origin = 0; /* scripts count from here */
+    ms_t origin = 0; /* time 0 of scripts */
     tally_t tally;
     rng_t rng;
     double loss;
     std::vector<instance_t> inst;
     std::vector<upstream_t> up;
     std::deque<call_t> calls;
-    /* Payload ID to the upstream and epoch of each run. */
+    /* By payload ID: "UPSTREAM/EPOCH" of each run. */
     std::map<std::string, std::vector<std::string>> runs;
-    std::map<std::string, int> last_forwarder; /* the last instance of each */
+    std::map<std::string, int> last_forwarder; /* by payload ID */
     std::map<std::string, ms_t> first_forwarded;
     std::vector<std::string> trace;
     bool tracing = false;
@@ -255,16 +255,14 @@
     std::priority_queue<event_t> events;
     std::deque<emit_context_t> emit_contexts;
     uint64_t order = 0;
-    std::vector<std::shared_ptr<conf_storage_t>> versions; /* 0 is the first */
-    bool bootstrapping =
-        true; /* the first instances start: nothing was before */
-    std::map<int, conf_upstream_t>
-        upstream_conf; /* upstream number to its entry */
+    /* Version N is at index N - 1. */
+    std::vector<std::shared_ptr<conf_storage_t>> versions;
+    bool bootstrapping = true; /* the site's first instances are starting */
+    std::map<int, conf_upstream_t> upstream_conf; /* by upstream number */
     std::map<int, int> upstream_service;
     std::set<std::pair<int, int>> disconnected;
-    std::set<uint64_t> blackholed; /* (client, upstream) */
-    std::set<std::string>
-        reported_not_run; /* payload IDs said to be "not run" */
+    std::set<uint64_t> blackholed;          /* (client, upstream) */
+    std::set<std::string> reported_not_run; /* payload IDs */
     std::map<uint64_t, std::vector<size_t>> by_client;
     int next_client = 100;
 
--- a/test/fleet_ends.cc
+++ b/test/fleet_ends.cc
@@ -1,4 +1,5 @@
-/* fleet_ends: the upstreams of docs/UPSTREAM.md and the callers. */
+/* fleet_ends: simulated upstreams, as docs/UPSTREAM.md specifies, and
+ * callers. */
 #include "test/fleet.h"
 
 #include <algorithm>
@@ -48,7 +49,7 @@
     m.payload_len = s.size();
 }
 
-/* The text must outlive the message. */
+/* A temporary would be freed before the message is encoded. */
 static void set_text(coap_msg_t &m, std::string &&s) = delete;
 
 static bytes_t
@@ -75,7 +76,7 @@
     return std::to_string(addr_id(&client)) + "/" + token;
 }
 
-/* ---- Upstreams: life ---- */
+/* ---- Upstreams: start and stop ---- */
 
 void
 fleet_t::upstream_add(int service)
@@ -168,8 +169,9 @@
     upstream_send(u, dest, h, encode(m));
 }
 
-/* Work is new to a leaving upstream unless it was forwarded to it in time:
- * a copy of a request must go where the first went. */
+/* Counts new work on a draining upstream.  Work that was first forwarded
+ * within the grace period is not new: copies of a request must go to the
+ * upstream of the first copy. */
 void
 fleet_t::count_late_work(int u, const bytes_t &data)
 {
@@ -214,8 +216,8 @@
     }
 }
 
-/* Probes and cancellations: answered whatever service the header names, so
- * that the asker learns the truth. */
+/* Answers probes and cancellations, whatever service the header names, so that
+ * the sender learns which service the upstream has. */
 bool
 fleet_t::upstream_control(int u, int source, const spp_t &h,
                           const coap_msg_t &m)
@@ -296,13 +298,13 @@
 
     if (x.flows.count(addr_id(&h.client)) == 0) {
         if (!opening) {
-            return; /* nothing is known of this flow: the caller waits */
+            return; /* unknown flow: the caller times out */
         }
         count_late_work(u, data);
         x.flows.insert(addr_id(&h.client));
     }
     text += "@" + std::to_string(u) + "/" + std::to_string(x.epoch);
-    (void)source; /* an opaque flow's datagrams take the return address */
+    (void)source; /* opaque flows reply through the return address */
     upstream_send(u, PARTY_OUTSIDE, h, bytes_t(text.begin(), text.end()));
 }
 
@@ -332,7 +334,7 @@
         }
         auto it = x.records.find(record_key(h.client, m.mid) ^ 1);
         if (it != x.records.end()) {
-            it->second.acked = true; /* a separate answer has arrived */
+            it->second.acked = true; /* the ACK of a separate answer */
         }
         return;
     }
@@ -395,7 +397,7 @@
     }
 }
 
-/* How long a request runs; a block of an upload takes a quarter. */
+/* The run time of a request; a block of an upload takes a quarter. */
 ms_t
 fleet_t::run_duration(int u, const coap_msg_t &m)
 {
@@ -404,7 +406,7 @@
     if (!opt.tail) {
         return mean;
     }
-    /* Pareto with shape 1.5: its mean is 3 times its least. */
+    /* Pareto with shape 1.5: the mean is 3 times the minimum. */
     double x = (rng_below(&rng, 1000000) + 1) / 1000001.0;
     return std::min<ms_t>((ms_t)((double)mean / 3 / pow(x, 2.0 / 3)),
                           50 * mean);
@@ -444,7 +446,7 @@
     }
 }
 
-/* The answer to a request that has run, its payload in BODY. */
+/* Runs a request.  Returns the answer; BODY gets its payload. */
 coap_msg_t
 fleet_t::upstream_execute(int u, const job_t &j, const coap_msg_t &m,
                           std::string &body)
@@ -578,8 +580,9 @@
     upstream_send(u, source, h, rec.answer);
 }
 
-/* Every fifth notification is confirmable, and so are those that follow an
- * unacknowledged one; after too many the observer is forgotten. */
+/* Sends a notification.  Every fifth is confirmable, and so are all after an
+ * unacknowledged one.  Removes the observer when too many are
+ * unacknowledged. */
 void
 fleet_t::feed_tick(int u, uint32_t epoch, const std::string &key)
 {
@@ -591,7 +594,7 @@
     }
     feed_t &f = it->second;
     if (f.unacked > feed_unacked_max) {
-        trace_event("feed %s forgotten by upstream %d", f.id.c_str(), u);
+        trace_event("feed %s dropped by upstream %d", f.id.c_str(), u);
         x.feeds.erase(it);
         return;
     }
@@ -640,7 +643,7 @@
     return calls.back();
 }
 
-/* The request of call N, or a copy of it. */
+/* Sends the request of call N or retransmits it. */
 void
 fleet_t::call_send(size_t n)
 {
@@ -714,7 +717,7 @@
 {
     reported_not_run.insert(id);
     if (runs.count(id) > 0) {
-        trace_event("%s was said not to have run, and ran", id.c_str());
+        trace_event("%s ran but was answered \"not run\"", id.c_str());
         tally.false_not_run++;
     }
 }
@@ -857,7 +860,7 @@
     reopen(n);
 }
 
-/* A caller that is told, or that has waited too long, opens anew. */
+/* Opens a feed again after an error answer or a timeout. */
 void
 fleet_t::reopen(size_t n)
 {
@@ -906,7 +909,7 @@
     after(raw_interval_ms, [=] { raw_tick(n); });
 }
 
-/* An echo is "O5.7@PLACE"; an established flow stays in its place. */
+/* An echo is "O5.7@UPSTREAM/EPOCH"; an established flow keeps both. */
 void
 fleet_t::raw_answer(size_t n, const std::string &text)
 {
@@ -938,7 +941,7 @@
     c.upstream_epoch = current;
 }
 
-/* ---- Reports ---- */
+/* ---- Results ---- */
 
 std::string
 fleet_t::violations()
--- a/test/script.cc
+++ b/test/script.cc
@@ -1,8 +1,9 @@
-/* script: runs written as text, a line an action: "MS VERB ARGUMENTS".
+/* script: runs scripts with one action per line: "MS VERB ARGUMENTS".
  *
- * Calls are named as in the report (P1, F2: letter, then their number in the
- * order of opening).  An instance is a number or "home:P1"; an upstream is a
- * number, "holder:F2" (of a feed) or "ran:P1" (of a request). */
+ * Calls have the names of the report: P1 or F2, the letter of the kind and the
+ * number in order of opening.  An instance is a number or "home:P1", the owner
+ * of that request.  An upstream is a number, "holder:F2" (the upstream of a
+ * feed) or "ran:P1" (the upstream that ran a request first). */
 #include "test/fleet.h"
 
 #include <sstream>
@@ -120,19 +121,19 @@
     else if (v == "isolate") {
         f.isolate(parse_instance(f, w[1]));
     }
-    else if (v == "cut") { /* an instance from an upstream */
+    else if (v == "cut") { /* between an instance and an upstream */
         f.disconnect(parse_instance(f, w[1]),
                      PARTY_UPSTREAM + parse_upstream(f, w[2]));
     }
-    else if (v == "cut-all") { /* every instance from an upstream */
+    else if (v == "cut-all") { /* between all instances and an upstream */
         for (int i = 0; i < (int)f.inst.size(); i++) {
             f.disconnect(i, PARTY_UPSTREAM + parse_upstream(f, w[1]));
         }
     }
-    else if (v == "part") { /* two instances from each other */
+    else if (v == "part") { /* between two instances */
         f.disconnect(parse_instance(f, w[1]), parse_instance(f, w[2]));
     }
-    else if (v == "deaf") { /* the first doesn't hear the second */
+    else if (v == "deaf") { /* the first receives nothing from the second */
         f.disconnect_one_way(parse_instance(f, w[2]), parse_instance(f, w[1]));
     }
     else if (v == "heal") {
@@ -170,15 +171,15 @@
     else if (v == "up-kill") {
         f.kill_upstream(parse_upstream(f, w[1]));
     }
-    else if (v == "freeze") { /* its load report says BUSY from now on */
+    else if (v == "freeze") { /* reports the given load from now on */
         f.up[parse_upstream(f, w[1])].reported_busy = int_arg(w, 2, 0);
     }
-    else if (v == "run-ms") { /* how long requests take from now on */
+    else if (v == "run-ms") { /* run time of requests from now on */
         for (upstream_t &u : f.up) {
             u.run_ms = std::stoi(w[1]);
         }
     }
-    else if (v == "gone") { /* its caller has left; the port may be reused */
+    else if (v == "gone") { /* the caller has left; its port may be reused */
         find_call(f, w[1]).finished = true;
         find_call(f, w[1]).outcome = "gone";
     }
