--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -1,5 +1,5 @@
-// The ten hazards of the design, as scripted runs: the script on the left of
-// each test, the expected report on the right.  Times are virtual.
+// The ten hazards of the design as scripted runs of the simulated fleet.  Each
+// test runs a script and checks the report, under virtual time.
 #include "test/fleet.h"
 
 #include <errno.h>
@@ -12,7 +12,7 @@
     "twice 0, false not-run 0, misdelivered 0, crossed 0, reverts 0, "
     "late work on leaving 0";
 
-/* Every call of KIND whose outcome differs from WANT, a line each. */
+/* Lists the calls of KIND whose outcome is not WANT, one per line. */
 static std::string
 unexpected_outcomes(const fleet_t &f, call_kind_t kind,
                     const std::string &want)
@@ -27,8 +27,8 @@
     return s;
 }
 
-/* Plays SCRIPT under seeds 1 to SEEDS: the promises hold, and what CHECK
- * looks for. */
+/* Runs SCRIPT with seeds 1 to SEEDS.  Expects no violation each time and calls
+ * CHECK, if any. */
 static void
 run_seeds(fleet_options_t o, int seeds, const char *script,
           void (*check)(fleet_t &) = nullptr)
@@ -45,7 +45,7 @@
     }
 }
 
-/* A fleet that has just started: no home is sure of anything. */
+/* A fleet that has just started: ownership of all slots is uncertain. */
 static fleet_options_t
 no_warmup(void)
 {
@@ -64,7 +64,6 @@
     EXPECT_EQ("", unexpected_outcomes(f, CALL_POST, "done"));
 }
 
-/* A healthy fleet first: without faults everything is answered. */
 TEST(Fleet, AnswersEverythingWithoutFaults)
 {
     fleet_t f(fleet_options_t{});
@@ -84,10 +83,10 @@
               f.report());
 }
 
-/* 1. Mid-flow datagram at an instance that never saw the flow.
- * The caller sees its feed stop, or its archive refused half way.  A new
- * version moves buckets, or a new instance takes the flow's next datagram,
- * and the choice made there differs from the one made at opening. */
+/* 1. A datagram in mid-flow reaches an instance that has no state of the flow.
+ * A new version moves buckets, or a new instance gets the flow's next
+ * datagram, and selects another upstream than at the start of the flow.  The
+ * caller's feed would stop, or its upload be refused half way. */
 TEST(Hazard1, FlowsSurviveOtherInstancesAndVersionSkew)
 {
     fleet_options_t o;
@@ -112,10 +111,11 @@
               expect_nothing_broken);
 }
 
-/* 2. "Not run" that ran.
- * The caller reads "not run" and files the setpoint again; it lands twice.
- * Copy 1 went through the home, which then died; the retransmission reaches
- * the next home, which can't reach that upstream and would refuse. */
+/* 2. False "not run": the request has run.
+ * The owner forwards copy 1 and dies.  The retransmission reaches the next
+ * owner, which can't reach that upstream and would refuse the request.  A
+ * caller that gets "not run" sends its setpoint again, so that it runs
+ * twice. */
 TEST(Hazard2, NewOwnerDoesNotReportNotRunForAnExecutedRequest)
 {
     run_seeds(fleet_options_t(), 10, R"(
@@ -133,7 +133,7 @@
               });
 }
 
-/* Has an upstream taken a block of upload ID? */
+/* Has an upstream received a block of upload ID? */
 static bool
 block_received(const fleet_t &f, const std::string &id)
 {
@@ -157,10 +157,10 @@
     }
 }
 
-/* 2, uploads.  An upstream has the first block, and the home that passed it on
- * dies before the answer.  The block comes again to the next home, which can't
- * use that upstream: "not run" would be false, since a block is there.  The
- * caller is told to start again. */
+/* 2, uploads.  The owner forwards the first block and dies before the answer.
+ * The retransmitted block reaches the next owner, which can't use that
+ * upstream.  "Not run" would be false, since the upstream has a block, so the
+ * caller must get the answer to start again. */
 TEST(Hazard2, NewOwnerDoesNotReportNotRunForAReceivedBlock)
 {
     run_seeds(fleet_options_t(), 10, R"(
@@ -174,8 +174,8 @@
               expect_no_not_run_for_received_blocks);
 }
 
-/* 2, uploads.  The same at the home itself: the upstream that has the block is
- * given up, and no other may be chosen. */
+/* 2, uploads.  The same without a change of owner: the owner gives up the
+ * upstream that has the block, and may not select another. */
 TEST(Hazard2, OwnerDoesNotReportNotRunForAForwardedBlock)
 {
     run_seeds(fleet_options_t(), 10, R"(
@@ -188,9 +188,10 @@
               expect_no_not_run_for_received_blocks);
 }
 
-/* 2, short pause.  The home sleeps 1.7 s, longer than its peers' patience.
- * They forward copy 1 at the next home; the sleeper, sure that nothing has
- * happened, reads copy 2 and has no room for it. */
+/* 2, short pause.  The owner is paused for 1.7 s, longer than its peers'
+ * suspicion timeout.  The next owner forwards copy 1.  The resumed instance
+ * still treats its ownership as exclusive, reads copy 2 and has no room for
+ * it. */
 TEST(Hazard2, ReplacedOwnerDoesNotReportNotRunAfterAPause)
 {
     run_seeds(fleet_options_t(), 10, R"(
@@ -204,10 +205,10 @@
         60000 end)");
 }
 
-/* 2, pauses.  The home sleeps for longer than its peers' patience, and up to
- * more than the trust in its upstreams.  Its peers forward copies meanwhile;
- * when it wakes, before its clock ticks and before it hears that it was
- * replaced, it reads the next copies. */
+/* 2, pauses.  The owner is paused for longer than its peers' suspicion
+ * timeout, and up to more than the identity lease of its upstreams.  Its peers
+ * forward copies meanwhile.  The resumed instance reads further copies before
+ * its first tick and before it is informed that it was replaced. */
 TEST(Hazard2, PausedOwnerMakesNoStaleDecision)
 {
     fleet_options_t o;
@@ -225,10 +226,10 @@
     }
 }
 
-/* 3. Second run.
- * Two crews go to one hall.  The home forwards the acknowledgement and dies;
- * the upstream it chose leaves the table; its backup dies too, and copies
- * reach a home for which another upstream is the first choice. */
+/* 3. A request runs twice, which would send two crews to one hall.
+ * The owner forwards the acknowledgement and dies.  The selected upstream
+ * leaves the table.  The backup dies too, and copies reach an owner whose
+ * first candidate is another upstream. */
 TEST(Hazard3, RetransmissionNeverRunsElsewhere)
 {
     static const char script[] = R"(
@@ -246,9 +247,9 @@
     run_seeds(no_warmup(), 10, script);
 }
 
-/* 3, two halves.  Both halves of a cut fleet get copies of one request, each
- * with a home of its own; first choices are full, so that each home would
- * take another upstream. */
+/* 3, network partition.  Both sides of a partitioned fleet get copies of one
+ * request, and each side has its own owner.  The first candidates are full, so
+ * that each owner would select another upstream. */
 TEST(Hazard3, TwoOwnersDoNotBothForward)
 {
     fleet_options_t o;
@@ -272,8 +273,8 @@
         60000 end)");
 }
 
-/* 3, upstream death.  The upstream runs the setpoint and dies before it
- * answers.  The caller must hear "outcome unknown" or nothing, and no other
+/* 3, upstream failure.  The upstream runs the setpoint and dies before it
+ * answers.  The caller must get "outcome unknown" or no answer, and no other
  * upstream may get the copies that follow. */
 TEST(Hazard3, DeathOfTheUpstreamEndsTheRequest)
 {
@@ -289,9 +290,9 @@
               });
 }
 
-/* 3, message ID reuse.  A caller that restarted uses message ID 77 again for
- * another setpoint: within EXCHANGE_LIFETIME that is refused, as the upstream
- * would take it for a copy; afterwards it runs. */
+/* 3, message ID reuse.  A restarted caller uses message ID 77 again for
+ * another setpoint.  Within EXCHANGE_LIFETIME the request is refused, since
+ * the upstream would treat it as a copy.  Afterwards it runs. */
 TEST(Hazard3, MessageIdMayBeUsedAgainAfterItsLifetime)
 {
     fleet_t f(fleet_options_t{});
@@ -307,10 +308,10 @@
               f.report());
 }
 
-/* 3, a restart that learns nothing.  The caller's setpoint ran at an upstream
- * that has restarted since; its copy reaches an instance that has just started
- * and hears no peer, and takes the upstream for one that is new to the site.
- * Only the first instances of a site may think so.  (soak, seed 404) */
+/* 3, restart without peers.  The caller's setpoint ran at an upstream that has
+ * restarted since.  A copy reaches an instance that has just started, has no
+ * contact to a peer, and treats the upstream as new to the site.  Only the
+ * first instances of a site may do so.  (Found by the soak test, seed 404.) */
 TEST(Hazard3, RestartWithoutPeersHasNoCompleteHistory)
 {
     fleet_options_t o;
@@ -388,10 +389,10 @@
     EXPECT_EQ(no_violations, f.violations());
 }
 
-/* 4. Wrong service.
- * Alarm acknowledgements arrive at the archive.  An address passes from one
- * service to the other while one instance holds the old version, or wakes
- * with a probe's answer that lay in its socket and is older than it looks. */
+/* 4. Wrong service: alarm acknowledgements would reach the archive.
+ * An address moves from one service to another while an instance has the old
+ * version, or resumes and reads a probe's answer that was queued in its socket
+ * during the pause and so is older than its arrival time suggests. */
 TEST(Hazard4, ReassignedAddressGetsNothingForItsOldService)
 {
     fleet_options_t o;
@@ -419,8 +420,9 @@
 }
 
 /* 4, slow probes.  A probe's answer takes up to 240 ms, and the upstream stops
- * as soon as it has answered.  Instances that are cut off hear of no change.
- * The trust must count from the question, or it outlasts the restart. */
+ * right after it has answered.  Isolated instances get no update.  The
+ * identity lease must start when the probe is sent, or it would outlast the
+ * restart. */
 TEST(Hazard4, SlowProbeAnswerDoesNotExtendTheLease)
 {
     fleet_options_t o;
@@ -439,10 +441,10 @@
         12000 end)");
 }
 
-/* 5. Late and crossed answers.
- * A technician takes over a port whose last user is still waited for, and its
- * token too.  The first request's answer comes late and separate, so that
- * only the token could match: the second must not take it for its own. */
+/* 5. Late and mismatched answers.
+ * A caller gets the port and the token of an earlier caller whose request is
+ * still open.  The answer to that request is late and separate, so that only
+ * its token could match.  It must not reach the second request. */
 TEST(Hazard5, LateAnswerIsNotMatchedToAnotherRequest)
 {
     static const char script[] = R"(
@@ -456,8 +458,8 @@
     run_seeds(no_warmup(), 10, script);
 }
 
-/* 5, epochs.  An answer from an upstream's earlier life, or to a request that
- * was cancelled, arrives when the port serves another caller. */
+/* 5, epochs.  An answer from an upstream's earlier epoch, or to a cancelled
+ * request, arrives when another caller uses the port. */
 TEST(Hazard5, AnswerOfAnEarlierEpochIsDropped)
 {
     run_seeds(fleet_options_t(), 10, R"(
@@ -470,10 +472,10 @@
         60000 end)");
 }
 
-/* 6. Drain of an instance and of upstreams, with a change of configuration.
- * The caller sees a feed stop or an archive cut on a planned stop.  The
- * fabric still hands datagrams to the leaving instance for 2 s, the version
- * is uneven, and only the leaving instance knew of some pins. */
+/* 6. Drain of an instance and of upstreams, with a configuration change.
+ * The fabric still sends datagrams to the leaving instance for 2 s, instances
+ * have different versions, and some pins exist only at the leaving instance.
+ * A caller's feed or upload would break on a planned stop. */
 TEST(Hazard6, LeavingBreaksNoFlow)
 {
     static const char script[] = R"(
@@ -498,8 +500,8 @@
     run_seeds(no_warmup(), 5, script, expect_nothing_broken);
 }
 
-/* 6, two leave, one soon after the other.  The second holds the first one's
- * pins for it, and must hand those on as well. */
+/* 6, two instances leave shortly one after the other.  The second has backup
+ * copies of the first one's pins, and must hand these over as well. */
 TEST(Hazard6, SuccessiveLeavesBreakNoFlow)
 {
     fleet_options_t o;
@@ -514,9 +516,10 @@
     }
 }
 
-/* 6, cut off.  An instance that hears neither peers nor the platform learns
- * from the upstream itself that it is leaving; and those that suspect the cut
- * off instance open no feed where an earlier version would have. */
+/* 6, isolated instance.  An instance that reaches neither peers nor the
+ * platform must detect the drain by the upstream's own report.  Instances that
+ * suspect the isolated one must not open feeds at the draining upstream
+ * because it was the candidate in an earlier version. */
 TEST(Hazard6, IsolatedInstanceSendsNoNewWorkToDrainingUpstream)
 {
     run_seeds(fleet_options_t(), 5, R"(
@@ -528,30 +531,31 @@
 }
 
 /* 7. Silent flow.
- * A feed freezes without a word: something between the ends has lost track of
- * its flow, while new ones work.  The caller must be told, soon, and the
- * other feeds left alone. */
+ * A feed stops without an error: a middlebox has lost the flow's state, while
+ * new flows work.  The caller must soon get an error, and the other feeds must
+ * continue. */
 TEST(Hazard7, SilentFeedEndsAndOthersContinue)
 {
     fleet_options_t o;
     o.feed_silent_ms = 3000;
 
-    run_seeds(o, 5, R"(
+    run_seeds(
+        o, 5, R"(
         4000  feed monitor 8
         10000 mute F3
         40000 end)",
-              [](fleet_t &f) {
-                  EXPECT_EQ("F3 ended\n",
-                            unexpected_outcomes(f, CALL_FEED, "live"));
-                  EXPECT_LT(f.calls[2].ended - f.origin, 19000);
-                  EXPECT_EQ(9u, f.calls.size()); /* it opened anew */
-              });
+        [](fleet_t &f) {
+            EXPECT_EQ("F3 ended\n", unexpected_outcomes(f, CALL_FEED, "live"));
+            EXPECT_LT(f.calls[2].ended - f.origin, 19000);
+            EXPECT_EQ(9u,
+                      f.calls.size()); /* the caller has opened a new feed */
+        });
 }
 
 /* 8. Versions.
- * A change that operators made vanishes: a stale read or a peer cut off for a
- * minute brings the old version back.  And while two versions are in force,
- * one acknowledgement must not run under each. */
+ * A stale read or a peer that was isolated for a minute would bring back an
+ * old version and revert an operator's change.  While two versions are in
+ * force, an acknowledgement must not run under both. */
 TEST(Hazard8, VersionsNeverRevertAndMixedVersionsRunNothingTwice)
 {
     static const char script[] = R"(
@@ -580,9 +584,9 @@
     run_seeds(o, 10, script, expect_newest_version);
 }
 
-/* 9. Two faults at once, each pair of them, under load.  Whatever is lost,
- * nothing runs twice, nothing that ran is called "not run", and nothing
- * reaches the wrong service. */
+/* 9. Every pair of faults at once, under load.  Datagrams and flows may be
+ * lost, but nothing runs twice, no request that ran is answered "not run", and
+ * nothing reaches the wrong service. */
 TEST(Hazard9, AnyTwoFaultsAtOnce)
 {
     static const char *const faults[] = {
@@ -608,9 +612,9 @@
     }
 }
 
-/* 9, one death.  The caller's feed must go on when an instance dies: its home
- * was the only one to know a pin that differs from the first choice, but for
- * the backup's copy.  Only datagrams in flight are lost. */
+/* 9, instance failure.  Feeds must continue when an instance dies.  A pin that
+ * differs from the first candidate exists only at the owner and, as a copy, at
+ * the backup.  Only datagrams in flight are lost. */
 TEST(Hazard9, DeathOfAnInstanceBreaksNoFlow)
 {
     fleet_options_t o;
@@ -625,8 +629,8 @@
               expect_nothing_broken);
 }
 
-/* 9, death of an upstream.  Its own feeds are lost, and their callers are
- * told within seconds; nobody else's are. */
+/* 9, upstream failure.  The upstream's feeds end with an error within seconds;
+ * no other feed is affected. */
 TEST(Hazard9, DeathOfAnUpstreamEndsItsOwnFeedsAlone)
 {
     run_seeds(fleet_options_t(), 5, "4000 feed monitor 40\n9000 end",
@@ -647,8 +651,8 @@
               });
 }
 
-/* Opens N requests, one each 50 ms: half of what 4 x 2 slots can do in
- * 200 ms each.  Returns how many ran at upstream PLACE ("0/1"). */
+/* Opens N requests, one per 50 ms: half the capacity of 4 x 2 slots at 200 ms
+ * per request.  Returns the number that ran at UPSTREAM_EPOCH ("0/1"). */
 static int
 count_runs_at(fleet_t &f, int n, const std::string &upstream_epoch)
 {
@@ -667,10 +671,11 @@
     return at;
 }
 
-/* 10. Lying load and health.
- * One upstream's report is frozen at idle, so that the least loaded of the
- * reports draws everything; it sheds, and callers are refused while others
- * have room.  What an instance sees itself must count more. */
+/* 10. Wrong load and health reports.
+ * One upstream's report is frozen at idle.  A choice by the lowest reported
+ * load would send all requests there; the upstream would shed them, and
+ * callers would be refused while other upstreams have room.  An instance's own
+ * measurements must count more than reports. */
 TEST(Hazard10, FrozenLoadReportDoesNotAttractAllRequests)
 {
     fleet_options_t o;
@@ -684,8 +689,8 @@
     });
 }
 
-/* 10, frozen high.  A report that is stuck at "full" must not keep work from
- * an idle upstream for good. */
+/* 10, stuck high.  A report that is stuck at "full" must not keep work from an
+ * idle upstream permanently. */
 TEST(Hazard10, LoadReportStuckHighDoesNotStarveTheUpstream)
 {
     fleet_options_t o;
@@ -698,8 +703,8 @@
               });
 }
 
-/* 10, cold.  An upstream that has just started looks idle to all instances at
- * once, and must not draw everything. */
+/* 10, restart.  An upstream that has just started appears idle to all
+ * instances at once, and must not get all requests. */
 TEST(Hazard10, RestartedUpstreamDoesNotAttractAllRequests)
 {
     fleet_options_t o;
@@ -719,7 +724,7 @@
             .port = port};
 }
 
-/* A configuration of SERVICES with EACH upstreams. */
+/* A configuration of N_SERVICES services with EACH upstreams. */
 struct SiteConf {
     std::vector<conf_upstream_t> ups;
     std::vector<conf_service_t> services;
@@ -760,9 +765,8 @@
         &p, [](void *, const core_out_t *) {}, nullptr);
 }
 
-/* A site of 120,000 upstreams.  With a narrower index than they need, the
- * last ones take the places of the first, and requests go to a service they
- * aren't meant for. */
+/* A large site.  If the index type is too narrow for the number of upstreams,
+ * the last ones overwrite the first, and requests reach the wrong service. */
 TEST(Size, EveryUpstreamKeepsItsIndex)
 {
     const uint32_t each = 10;
@@ -780,13 +784,13 @@
     core_free(c);
 }
 
-/* ---- Memory runs out ---- */
+/* ---- Out of memory ---- */
 
 static const size_t MEMORY_LIMIT_MB = 128;
 
 #ifdef __SANITIZE_ADDRESS__
-/* Its allocator takes no limit at run time: one block of more than ROOM_MB is
- * refused throughout. */
+/* The sanitizer's allocator has no run-time limit: for the whole run, a block
+ * of more than MEMORY_LIMIT_MB is refused. */
 extern "C" const char *
 __asan_default_options()
 {
@@ -795,7 +799,7 @@
 
 struct MemoryLimit {};
 #else
-/* The address space may grow by ROOM_MB, while it exists. */
+/* While an object exists, the address space may grow by MEMORY_LIMIT_MB. */
 struct MemoryLimit {
     rlimit before;
 
@@ -817,9 +821,9 @@
 };
 #endif
 
-/* A version needs more memory than there is.  Taken in part, it would leave
- * services without upstreams, or end the process: callers go on by the version
- * before, and a smaller one is taken later. */
+/* A version needs more memory than is available.  If applied in part, it would
+ * leave services without upstreams or crash the process.  The previous version
+ * must stay in force, and a smaller version must be accepted later. */
 TEST(Memory, OutOfMemoryKeepsThePreviousVersion)
 {
     SiteConf small(1, 2, 3), large(2, 60000, 10), next(3, 3, 3);
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -255,8 +255,7 @@
         return;
     }
     if (n.version == 0 && version > 1) {
-        apply_conf(i, version - 1,
-                   now); /* the platform keeps the previous version */
+        apply_conf(i, version - 1, now); /* kept by the platform */
     }
     apply_conf(i, version, now);
     if (chance(0.2) && version > 1) {
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -35,8 +35,7 @@
 struct fleet_options_t {
     uint64_t seed = 1;
     int instances = 5;
-    ms_t warmup_ms =
-        55000; /* virtual time that passes before a script's time 0 */
+    ms_t warmup_ms = 55000; /* virtual time before a script's time 0 */
     int upstreams[SERVICE_COUNT] = {4, 3, 3};
     int slots = 2;
     int queue = 4;
