--- a/bench/balance.cc
+++ b/bench/balance.cc
@@ -1,7 +1,8 @@
-/* balance: how evenly work and connections are spread, what urgent work waits
- * under a bulk flood, and what each change breaks; for both sites of the
- * brief, beside baselines in the same run.  Virtual time: the figures depend
- * on the seed alone.
+/* balance: measures the distribution of requests and connections, the latency
+ * of urgent requests under a flood of bulk uploads, and the flows that each
+ * change breaks.  Covers both sites of the brief and compares with baseline
+ * policies in the same run.  Under virtual time, the figures depend only on
+ * the seed.
  *
  * usage: balance [SEED]
  */
@@ -17,7 +18,7 @@
     int instances, upstreams[SERVICE_COUNT], slots;
 };
 
-/* The raw service stands for the long opaque flows of the first service. */
+/* The raw service models the long opaque flows of the first service. */
 static const site_t sites[] = {
     {"Moravia", 7, {15, 4, 15}, 2},
     {"Bogota", 9, {15, 4, 15}, 3},
@@ -70,13 +71,14 @@
     return choice;
 }
 
-/* The least of reports that are read each EVERY ms; ties at random. */
+/* Load reports, read every INTERVAL ms. */
 struct reports_t {
     ms_t interval;
     std::vector<int> load;
     ms_t read_at = -1000;
 };
 
+/* Selects the upstream with the lowest reported load; ties at random. */
 static int
 least_choice(fleet_t &f, int service, reports_t &r)
 {
@@ -117,7 +119,7 @@
     std::copy(site.upstreams, site.upstreams + SERVICE_COUNT, o.upstreams);
     o.slots = site.slots;
     o.urgent_slots[SERVICE_ARCHIVE] = 1;
-    o.max_exchanges = 65536; /* 247 s of requests at the busiest home */
+    o.max_exchanges = 65536; /* 247 s of requests at the busiest owner */
     o.prefer =
         policy == POLICY_SISKIN_BALANCE ? PREFER_BALANCE : PREFER_STABILITY;
     if (policy == POLICY_RANDOM) {
@@ -136,7 +138,7 @@
     return o;
 }
 
-/* ---- Measures ---- */
+/* ---- Measurements ---- */
 
 struct spread_t {
     std::vector<double> all;
@@ -198,12 +200,12 @@
 
 struct result_t {
     spread_t spread;
-    std::vector<ms_t> latencies; /* of requests answered */
+    std::vector<ms_t> latencies; /* of answered requests */
     int requests = 0, refused = 0;
 };
 
-/* Requests at RATE a second for SPAN ms; the time between two is exponential.
- */
+/* Opens RATE requests per second for DURATION ms, with exponential
+ * interarrival times. */
 static result_t
 offer_load(fleet_t &f, int service, double rate, ms_t duration)
 {
--- a/test/core_prop_test.cc
+++ b/test/core_prop_test.cc
@@ -1,7 +1,7 @@
-// Promises that hold in any schedule of faults, under RapidCheck.  The verdict
-// is the same on each run: the seed is fixed, unless SISKIN_SEED names another
-// one; SISKIN_SCHEDULES says how many schedules are tried (make soak).  What
-// RapidCheck prints of a failure is a script for core_test.cc.
+// Guarantees that hold under any schedule of faults, tested with RapidCheck.
+// Runs are reproducible: the seed is fixed unless SISKIN_SEED is set.
+// SISKIN_SCHEDULES sets the number of schedules (make soak).  The output for a
+// failure contains a script that can be added to core_test.cc.
 #include "test/fleet.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
     return std::to_string(n);
 }
 
-/* A change that operators make. */
+/* A planned change by operators. */
 static std::string
 random_change(int up)
 {
@@ -117,7 +117,7 @@
     }
 }
 
-/* Load from 4 to 24 s, and FAULTS, each at its time, among it. */
+/* Merges LINES, by time, with load from 4 to 24 s. */
 static std::string
 script_of(std::multimap<int, std::string> lines)
 {
@@ -168,7 +168,7 @@
     RC_ASSERT(f.violations().rfind(no_violations, 0) == 0);
 }
 
-/* Only what operators plan: nothing is cut, nothing is left unanswered. */
+/* Planned changes alone break no flow and leave no request unanswered. */
 RC_GTEST_PROP(PlannedSchedule, BreaksNothing, ())
 {
     fleet_options_t o;
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -765,8 +765,8 @@
         &p, [](void *, const core_out_t *) {}, nullptr);
 }
 
-/* A large site.  If the index type is too narrow for the number of upstreams,
- * the last ones overwrite the first, and requests reach the wrong service. */
+/* Sites may have 120,000 upstreams.  If the index type is too narrow, the last
+ * ones overwrite the first, and requests reach the wrong service. */
 TEST(Size, EveryUpstreamKeepsItsIndex)
 {
     const uint32_t each = 10;
