--- a/test/path_planned.sh
+++ b/test/path_planned.sh
@@ -9,7 +9,7 @@
 faults="--lose 1 --repeat 5"
 
 # A third service, of opaque datagrams, on addresses of its own.
-add_opaque() {
+add_opaque_service() {
     cat >>"$bed/site/base.toml" <<'T'
 
 [service.mereni]
@@ -27,12 +27,12 @@
     done
 }
 
-drain() {               # address
+drain_upstream() {      # address
     "$B/siskinctl" drain --platform "$url" --upstream "$1" \
         >>"$bed/drain.out" || bed_fail "siskinctl drain $1"
 }
 
-restart_two() {         # number, number, version
+restart_pair() {        # number, number, version
     signal "instance-$1" TERM
     signal "instance-$2" TERM
     reap "instance-$1" || bed_fail "instance $1 did not stop cleanly"
@@ -45,7 +45,7 @@
 
 run() {
     site_copy moravia
-    add_opaque
+    add_opaque_service
     site_start $faults
     instances_start
     caller_start dohled --service 127.1.0.1:5683 --feeds 40 --acks 20 \
@@ -57,15 +57,15 @@
     until_true "feeds" logged_at_least 40 "^feed established"
     until_true "an upload" logged_at_least 1 "^uploaded"
     echo "$count instances serve feeds, uploads and opaque flows"
-    restart_two 1 2 1
+    restart_pair 1 2 1
     echo "1 and 2 are restarted"
-    drain 127.2.2.1:5683
-    drain 127.2.2.5:5683
-    drain 127.2.2.20:5685
-    restart_two 3 4 4
+    drain_upstream 127.2.2.1:5683
+    drain_upstream 127.2.2.5:5683
+    drain_upstream 127.2.2.20:5685
+    restart_pair 3 4 4
     echo "an upstream of each service drains, 3 and 4 are restarted"
     version_in_force 4
-    restart_two 5 6 4
+    restart_pair 5 6 4
     echo "5 and 6 are restarted"
     before=$(logged "outcome=answered kind=ack")
     until_true "acknowledgements after it all" \
--- a/test/path_recycle.sh
+++ b/test/path_recycle.sh
@@ -17,28 +17,28 @@
 }
 
 # At all instances but the third.
-version_at_others() {
+version_in_force_at_others() {
     local n
     for n in 1 2 4 5 6 7; do
         until_true "instance $n with version $1" serves "$n" "$1"
     done
 }
 
-ran_for() {             # service
+runs_for() {            # service
     grep -c -E "^(run|block) service=$1 upstream=$moved" "$bed/run.log"
 }
 
-ran_for_at_least() {    # count, service
-    [ "$(ran_for "$2")" -ge "$1" ]
+runs_for_at_least() {   # count, service
+    [ "$(runs_for "$2")" -ge "$1" ]
 }
 
 # The overlay without the upstream, and with it as archiv's.
-overlay_without() {
+overlay_without_moved() {
     awk -v a="\"$moved\"" 'BEGIN { RS = ""; ORS = "\n\n" } index($0, a) == 0' \
         examples/moravia/brno-sal-a.toml >"$bed/site/brno-sal-a.toml"
 }
 
-overlay_moved() {
+overlay_with_moved() {
     printf '[[upstream]]\nservice = "archiv"\naddress = "%s"\n' "$moved" \
         >>"$bed/site/brno-sal-a.toml"
 }
@@ -52,20 +52,20 @@
     caller_start archiv --service 127.1.0.2:5684 --uploads 10 \
         --from 127.10.0.1 --seed 2 --every-ms 100 $faults
     until_true "acknowledgements" logged_at_least 200 "$answered"
-    until_true "work at $moved" ran_for_at_least 5 127.1.0.1:5683
+    until_true "work at $moved" runs_for_at_least 5 127.1.0.1:5683
     echo "$count instances serve, $moved runs for dohled"
     signal instance-3 STOP
-    overlay_without
+    overlay_without_moved
     apply 1
-    version_at_others 2
+    version_in_force_at_others 2
     echo "instance 3 stands still, the others have version 2 without it"
     upstream_do "$moved" "do=restart&service=127.1.0.2:5684"
-    overlay_moved
+    overlay_with_moved
     apply 2
-    version_at_others 3
+    version_in_force_at_others 3
     caller_start later --service 127.1.0.2:5684 --uploads 20 --acks 20 \
         --from 127.11.0.1 --seed 3 --every-ms 100 $faults
-    until_true "work for archiv" ran_for_at_least 20 127.1.0.2:5684
+    until_true "work for archiv" runs_for_at_least 20 127.1.0.2:5684
     echo "the others have version 3, and it runs for archiv"
     signal instance-3 CONT
     version_in_force 3
