--- a/test/bed.bash
+++ b/test/bed.bash
@@ -1,15 +1,15 @@
-# Sourced by test/demo and test/path_*.sh: starts a site of real processes on
-# loopback, waits for conditions, stops everything again.
-# Set before: B, the build directory.  Only processes started here are ended,
-# each by its id.
+# Test bed, sourced by test/demo and test/path_*.sh: starts a site of real
+# processes on loopback, waits for conditions and stops all processes.
+# The caller sets B, the build directory.  Stops only processes that were
+# started here, each by its process ID.
 
 set -u
-# The samples name fixed loopback addresses: one site at a time.
+# The samples use fixed loopback addresses: only one site can run at a time.
 exec 9>"${TMPDIR:-/tmp}/siskin-bed.lock"
 flock -w 600 9 || { echo "another site has run for 10 minutes" >&2; exit 1; }
 SECONDS=0
 bed=$(mktemp -d)
-declare -A pid          # name to process id
+declare -A pid          # process IDs by name
 declare -a instances=() # names of the instances
 url=http://127.0.0.1:8500
 upstream_admin=http://127.0.0.1:8600
@@ -23,7 +23,7 @@
     exit 1
 }
 
-# start NAME COMMAND...: its output goes to $bed/NAME.out and NAME.err.
+# start NAME COMMAND...: writes the output to $bed/NAME.out and NAME.err.
 start() {
     local name=$1
     shift
@@ -40,7 +40,7 @@
     kill "-$2" "${pid[$1]}" 2>/dev/null
 }
 
-# Waits for the end of NAME; its exit status.
+# reap NAME: waits for the process to end and returns its exit status.
 reap() {
     wait "${pid[$1]}" 2>/dev/null
     local rc=$?
@@ -48,7 +48,7 @@
     return $rc
 }
 
-# until_true WHAT COMMAND...: tries each 100 ms, WAIT_S seconds at most.
+# until_true WHAT COMMAND...: retries every 100 ms for up to WAIT_S seconds.
 until_true() {
     local what=$1 end=$((SECONDS + WAIT_S))
     shift
@@ -104,14 +104,14 @@
     until_true "the upstreams" upstreams_up
 }
 
-# The instance's answer to /status on its admin address.
+# Prints the answer to /status from the instance's admin address.
 status() {              # number
     local admin
     admin=$(sed -n 's/^admin_addr = "\(.*\)"/\1/p' "$bed/site/instance-$1.toml")
     curl -sf -m 3 "http://$admin/status"
 }
 
-# Is instance N active with version V in force?
+# Succeeds if the instance is active with the version in force.
 serves() {              # number, version
     local s
     s=$(status "$1") || return 1
@@ -122,7 +122,7 @@
     start "instance-$1" "$B/siskind" "$bed/site/instance-$1.toml"
 }
 
-# Starts all of the site's instances with its configuration as version 1.
+# Applies the site's configuration as version 1 and starts all instances.
 instances_start() {
     local n
     "$B/siskinctl" apply --platform "$url" "$bed/site/base.toml" \
@@ -134,14 +134,14 @@
     version_in_force 1
 }
 
-version_in_force() {    # version: at every instance
+version_in_force() {    # version, at all instances
     local n
     for n in $(seq "$count"); do
         until_true "instance $n with version $1" serves "$n" "$1"
     done
 }
 
-# Ends instance N gracefully and starts it again.
+# Stops an instance gracefully and starts it again.
 instance_restart() {    # number, version
     signal "instance-$1" TERM
     reap "instance-$1" || bed_fail "instance $1 did not stop cleanly"
@@ -154,13 +154,13 @@
         bed_fail "upstream $1: $2"
 }
 
-# Sum of a counter over all upstreams.
+# Prints the sum of a counter over all upstreams.
 upstream_sum() {        # counter
     curl -sf "$upstream_admin/v1/stats" | grep -o "\"$1\":[0-9]*" |
         awk -F: '{ n += $2 } END { print n + 0 }'
 }
 
-# How many lines of the callers' logs match.
+# Prints the number of matching lines in the callers' logs.
 logged() {              # pattern
     cat "$bed"/caller-*.log 2>/dev/null | grep -c "$1"
 }
@@ -169,7 +169,7 @@
     [ "$(logged "$2")" -ge "$1" ]
 }
 
-# How many requests an upstream has started.
+# Prints the number of requests that an upstream has started.
 ran() {                 # address, or "" for all
     grep -c "^run .*upstream=$1" "$bed/run.log"
 }
@@ -185,7 +185,7 @@
         --log "$bed/caller-$name.log" "$@"
 }
 
-# Ends the callers; they wait for their last answers.
+# Stops the callers, which first wait for outstanding answers.
 callers_stop() {
     local name
     for name in "${!pid[@]}"; do
@@ -196,12 +196,13 @@
     done
 }
 
-# Its output is in $bed/verdict.out.
+# Runs si_verdict; its output is in $bed/verdict.out.
 verdict() {             # options of si_verdict
     "$B/si_verdict" "$@" "$bed/run.log" "$bed"/caller-*.log \
         >"$bed/verdict.out" 2>"$bed/verdict.err"
 }
 
+# Prints the value of a line of the verdict.
 verdict_of() {          # line
     sed -n "s/^$1: //p" "$bed/verdict.out"
 }
--- a/test/layers.sh
+++ b/test/layers.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The files of core/ call only what core/state.h puts below them.
+# Checks that the files of core/ call only files of their own layer or below, as
+# listed in core/state.h.
 # usage: test/layers.sh BUILD
 set -u
 obj=$1/obj/core
--- a/test/path_kill.sh
+++ b/test/path_kill.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Callers see timeouts and retransmissions, never a lie.  Under load, with the
-# platform out for the run: two of seven instances are killed, a third stands
-# still for 10 s and wakes with old beliefs, an upstream drains.  The fabric
-# goes on sending a part of all datagrams to the dead for seconds.  No request
-# may run twice, run after "not run", or reach the other service.
-# Flows that break are counted: this is no planned change.
+# Instance failures under load, during a platform outage: two of seven
+# instances are killed, a third is paused for 10 s and resumes with outdated
+# state, and an upstream drains.  For seconds, the fabric still sends a part of
+# all datagrams to the killed instances.  No request may run twice, run after
+# "not run", or reach the other service; callers may see only timeouts and
+# retransmissions.  Broken flows are counted but allowed, as the failures are
+# not planned changes.
 B=${1:?usage: test/path_kill.sh BUILD}
 . test/bed.bash
 answered="outcome=answered kind=ack"
--- a/test/path_planned.sh
+++ b/test/path_planned.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Planned changes only, several at once: instances are restarted two at a
-# time, an upstream of each service drains by a new version, and the fabric
-# loses and repeats datagrams all along.  Feeds and opaque flows stay where
-# they are, uploads go on, each acknowledgement is answered: nothing is
-# broken, unknown or unanswered.
+# Several planned changes at once: instances are restarted two at a time, an
+# upstream of each service drains by a new version, and the fabric loses and
+# duplicates datagrams throughout.  Feeds and opaque flows must keep their
+# upstreams, uploads must continue, and every acknowledgement must be answered:
+# none may be broken, unknown or unanswered.
 B=${1:?usage: test/path_planned.sh BUILD}
 . test/bed.bash
 faults="--lose 1 --repeat 5"
 
-# A third service, of opaque datagrams, on addresses of its own.
+# Adds a third service, with opaque datagrams, on separate addresses.
 add_opaque_service() {
     cat >>"$bed/site/base.toml" <<'T'
 
--- a/test/path_recycle.sh
+++ b/test/path_recycle.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# An upstream's address passes from dohled to archiv in two versions, while
-# one instance stands still and wakes with the first version and its old
-# trust.  A datagram that it sends there on what it believes would reach the
-# other service: callers would see a refusal, and operators an acknowledgement
-# in the archive.  It may send nothing before the upstream has told its
-# service again.
+# An upstream's address moves from dohled to archiv in two versions, while one
+# instance is paused.  The instance resumes with the first version and its old
+# identity lease.  A datagram sent to the address on this outdated state would
+# reach the other service: callers would be refused, and an acknowledgement
+# would arrive in the archive.  The instance may send nothing there before the
+# upstream has reported its service again.
 B=${1:?usage: test/path_recycle.sh BUILD}
 . test/bed.bash
 answered="outcome=answered kind=ack"
@@ -16,7 +16,7 @@
         "${overlays[@]}" >>"$bed/apply.out" || bed_fail "siskinctl apply"
 }
 
-# At all instances but the third.
+# Waits for version $1 at all instances but the third.
 version_in_force_at_others() {
     local n
     for n in 1 2 4 5 6 7; do
@@ -32,7 +32,7 @@
     [ "$(runs_for "$2")" -ge "$1" ]
 }
 
-# The overlay without the upstream, and with it as archiv's.
+# The overlay without the moved upstream; overlay_with_moved adds it to archiv.
 overlay_without_moved() {
     awk -v a="\"$moved\"" 'BEGIN { RS = ""; ORS = "\n\n" } index($0, a) == 0' \
         examples/moravia/brno-sal-a.toml >"$bed/site/brno-sal-a.toml"
--- a/test/path_upstream.sh
+++ b/test/path_upstream.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Upstreams fail in each of their ways under load: one restarts and has lost
-# its memory of what it ran, one dies for good, one shows a frozen load, one
-# says that it is idle while it sheds.  A copy of a request that the restarted
-# one has run must not reach it again; a caller is told the truth.  Feeds on
-# the dead are broken, told or silent, and open anew.
+# Each kind of upstream failure, under load: upstreams restart and lose their
+# record of the requests they ran, one is killed, one reports a frozen load, and
+# one reports idle while it sheds.  A copy of a request must not reach a
+# restarted upstream that has run the request, and every outcome that a caller
+# gets must be true.  Feeds of failed upstreams end, with an error or silently,
+# and are opened again.
 B=${1:?usage: test/path_upstream.sh BUILD}
 . test/bed.bash
 answered="outcome=answered kind=ack"
