--- a/bench/balance.cc
+++ b/bench/balance.cc
@@ -62,7 +62,7 @@
     int choice = -1;
 
     for (int u : f.active_upstreams(service)) {
-        uint64_t score = hash_mix(key, f.up[u].id);
+        uint64_t score = hash_mix(key, f.upstreams[u].id);
         if (choice < 0 || score > best) {
             choice = u;
             best = score;
@@ -87,7 +87,7 @@
     if (f.now - r.read_at >= r.interval) {
         r.read_at = f.now;
         r.load.clear();
-        for (const upstream_t &u : f.up) {
+        for (const upstream_t &u : f.upstreams) {
             r.load.push_back(u.reported_busy >= 0
                                  ? u.reported_busy
                                  : u.busy + (int)u.queue.size());
@@ -186,7 +186,7 @@
     std::vector<int> v;
 
     for (int u : f.active_upstreams(service)) {
-        v.push_back(f.up[u].busy + (int)f.up[u].queue.size());
+        v.push_back(f.upstreams[u].busy + (int)f.upstreams[u].queue.size());
     }
     return v;
 }
@@ -262,10 +262,10 @@
     for (int p = 0; p < POLICY_COUNT; p++) {
         fleet_options_t o = policy_options(site, (policy_t)p);
         o.run_ms = 200;
-        o.tail = true;
+        o.heavy_tail = true;
         fleet_t f(o);
         for (int u = 0; frozen && u < 5; u++) {
-            f.up[u].reported_busy = 0;
+            f.upstreams[u].reported_busy = 0;
         }
         result_t r = offer_load(f, SERVICE_MONITOR, 0.7 * slots / 0.2, 60000);
         print_spread(policy_names[p], r);
@@ -320,13 +320,13 @@
             f.run_until(f.now + 5);
         }
         f.run_until(f.now + 3000);
-        std::map<std::string, int> at;
+        std::map<std::string, int> flows;
         for (const call_t &c : f.calls) {
-            at[c.upstream_epoch]++;
+            flows[c.upstream_epoch]++;
         }
-        at.erase("");
+        flows.erase("");
         std::vector<int> v;
-        for (auto &[upstream_epoch, n] : at) {
+        for (auto &[upstream_epoch, n] : flows) {
             v.push_back(n);
         }
         spread_t s;
--- a/test/core_prop_test.cc
+++ b/test/core_prop_test.cc
@@ -19,8 +19,9 @@
     std::string params = "max_success=" + std::string(n ? n : "60") +
                          " seed=" + std::string(seed ? seed : "4");
 
-    const char *own = getenv("RC_PARAMS");
-    bool reproducing = own != NULL && strstr(own, "reproduce") != NULL;
+    const char *rc_params = getenv("RC_PARAMS");
+    bool reproducing =
+        rc_params != NULL && strstr(rc_params, "reproduce") != NULL;
 
     return setenv("RC_PARAMS", params.c_str(), !reproducing) == 0;
 }
@@ -41,7 +42,7 @@
 
 /* A planned change by operators. */
 static std::string
-random_change(int up)
+random_change(int upstreams)
 {
     switch (random_int(0, 8)) {
     case 0:
@@ -50,11 +51,11 @@
     case 2:
         return "leave " + num(random_int(0, 2));
     case 3:
-        return "drain " + num(random_int(0, up));
+        return "drain " + num(random_int(0, upstreams));
     case 4:
-        return "undrain " + num(random_int(0, up));
+        return "undrain " + num(random_int(0, upstreams));
     case 5:
-        return "weight " + num(random_int(0, up)) + " " +
+        return "weight " + num(random_int(0, upstreams)) + " " +
                num(random_int(1, 100));
     case 6:
         return "add " +
@@ -65,9 +66,10 @@
 }
 
 static std::string
-random_fault(int instances, int up)
+random_fault(int instances, int upstreams)
 {
-    std::string i = num(random_int(0, instances)), u = num(random_int(0, up));
+    std::string i = num(random_int(0, instances)),
+                u = num(random_int(0, upstreams));
 
     switch (random_int(0, 15)) {
     case 0:
@@ -141,7 +143,7 @@
 {
     fleet_options_t o;
     std::multimap<int, std::string> faults;
-    int up = 10;
+    int upstreams = 10;
 
     o.seed = (uint64_t)random_int(1, 1000000);
     o.instances = random_int(2, 8);
@@ -153,8 +155,8 @@
     int n = random_int(1, 9);
     for (int k = 0; k < n; k++) {
         std::string line = random_int(0, 3) == 0
-                               ? random_change(up)
-                               : random_fault(o.instances, up);
+                               ? random_change(upstreams)
+                               : random_fault(o.instances, upstreams);
         faults.insert({random_int(4010, 22000), line});
     }
     std::string script = script_of(faults);
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -137,7 +137,7 @@
 static bool
 block_received(const fleet_t &f, const std::string &id)
 {
-    for (const upstream_t &u : f.up) {
+    for (const upstream_t &u : f.upstreams) {
         for (const auto &it : u.uploads) {
             if (it.second.first == id) {
                 return true;
@@ -654,7 +654,7 @@
 /* Opens N requests, one per 50 ms: half the capacity of 4 x 2 slots at 200 ms
  * per request.  Returns the number that ran at UPSTREAM_EPOCH ("0/1"). */
 static int
-count_runs_at(fleet_t &f, int n, const std::string &upstream_epoch)
+count_runs_under_load(fleet_t &f, int n, const std::string &upstream_epoch)
 {
     int at = 0;
 
@@ -682,7 +682,7 @@
     o.run_ms = 200;
 
     run_seeds(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
-        EXPECT_LT(count_runs_at(f, 600, "0/1"),
+        EXPECT_LT(count_runs_under_load(f, 600, "0/1"),
                   300); /* its fair share is 150 */
         EXPECT_EQ(600, f.tally.done);
         EXPECT_EQ(no_violations, f.violations());
@@ -698,7 +698,8 @@
 
     run_seeds(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
               [](fleet_t &f) {
-                  EXPECT_GT(count_runs_at(f, 600, "0/1"), 75); /* fair: 150 */
+                  EXPECT_GT(count_runs_under_load(f, 600, "0/1"),
+                            75); /* fair: 150 */
                   EXPECT_EQ(no_violations, f.violations());
               });
 }
@@ -711,7 +712,8 @@
     o.run_ms = 200;
 
     run_seeds(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
-        EXPECT_LT(count_runs_at(f, 60, "0/2"), 15); /* its fair share is 15 */
+        EXPECT_LT(count_runs_under_load(f, 60, "0/2"),
+                  15); /* its fair share is 15 */
         EXPECT_EQ(no_violations, f.violations());
     });
 }
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -265,14 +265,15 @@
         tally.version_reverts++;
     }
     for (auto &[u, entry] : upstream_conf) {
-        bool reached_all = entry.draining && up[u].drain_started == MS_NEVER;
+        bool reached_all =
+            entry.draining && upstreams[u].drain_started == MS_NEVER;
         for (int j = 0; j < (int)inst.size() && reached_all; j++) {
             reached_all = !inst[j].alive || inst[j].paused ||
                           is_disconnected(j, PARTY_PLATFORM) ||
                           inst[j].version >= versions.size();
         }
         if (reached_all) {
-            up[u].drain_started = now;
+            upstreams[u].drain_started = now;
         }
     }
 }
@@ -297,8 +298,8 @@
     }
     trace_event("drain %d %d", u, on);
     upstream_conf[u].draining = on;
-    up[u].drain_started = MS_NEVER;
-    after(rng_below(&rng, 1000), [=] { up[u].draining = on; });
+    upstreams[u].drain_started = MS_NEVER;
+    after(rng_below(&rng, 1000), [=] { upstreams[u].draining = on; });
     push_conf();
 }
 
@@ -316,7 +317,7 @@
 fleet_t::add_upstream(int service)
 {
     upstream_add(service);
-    trace_event("add upstream %d to %d", (int)up.size() - 1, service);
+    trace_event("add upstream %d to %d", (int)upstreams.size() - 1, service);
     push_conf();
 }
 
@@ -326,7 +327,7 @@
 void
 fleet_t::reassign_upstream(int u, int service)
 {
-    if (upstream_conf.count(u) == 0 || !up[u].up) {
+    if (upstream_conf.count(u) == 0 || !upstreams[u].running) {
         return;
     }
     trace_event("recycle %d to %d", u, service);
@@ -549,8 +550,8 @@
             continue;
         }
         const peer_view_t &peer_view = inst[j].view[i];
-        if (!peer_view.known || peer_view.incarnation != n.incarnation ||
-            !n.view[j].known) {
+        if (!peer_view.listed || peer_view.incarnation != n.incarnation ||
+            !n.view[j].listed) {
             return;
         }
     }
@@ -594,7 +595,7 @@
         return;
     }
     trace_event("stop %s", n.name.c_str());
-    n.left = true;
+    n.left_cleanly = true;
     stop_instance(i);
 }
 
@@ -676,7 +677,7 @@
     instance_t &n = inst[i];
     peer_view_t &v = n.view[j];
     const instance_t &peer = inst[j];
-    bool suspect = v.known && v.state == MEMBER_SUSPECT;
+    bool suspect = v.listed && v.state == MEMBER_SUSPECT;
 
     v.last_heartbeat = now;
     if (!chance(opt.update_chance)) {
@@ -687,9 +688,9 @@
         after(rng_below(&rng, 300), [=] { refute(j, incarnation); });
         return false;
     }
-    bool same = v.known && v.state == peer.state &&
+    bool same = v.listed && v.state == peer.state &&
                 v.incarnation == peer.incarnation && v.version == peer.version;
-    if (v.known && v.incarnation != peer.incarnation &&
+    if (v.listed && v.incarnation != peer.incarnation &&
         v.state != MEMBER_GONE) {
         n.uncertain_at = now;
     }
@@ -711,10 +712,10 @@
     if (reachable(i, j)) {
         return receive_update(i, j);
     }
-    if (!v.known || v.state == MEMBER_GONE) {
+    if (!v.listed || v.state == MEMBER_GONE) {
         return false;
     }
-    bool left = v.state == MEMBER_LEAVING && peer.left;
+    bool left = v.state == MEMBER_LEAVING && peer.left_cleanly;
     bool dead = v.state == MEMBER_SUSPECT && !peer.alive &&
                 now - v.changed_at > opt.gone_ms;
     if (left || dead) {
@@ -761,7 +762,7 @@
         if (j == i) {
             v = {true, n.state, n.incarnation, n.version, now, n.started};
         }
-        if (!v.known) {
+        if (!v.listed) {
             continue;
         }
         member_t m = {};
@@ -877,8 +878,8 @@
         trace_event("%s forwards %s to %s", inst[i].name.c_str(), id.c_str(),
                     addr_text(&out->upstream.upstream, to));
     }
-    for (int u = 0; u < (int)up.size(); u++) {
-        if (addr_eq(&up[u].addr, &out->upstream.upstream)) {
+    for (int u = 0; u < (int)upstreams.size(); u++) {
+        if (addr_eq(&upstreams[u].addr, &out->upstream.upstream)) {
             transmit(i, PARTY_UPSTREAM + u,
                      [=] { upstream_receive(u, source, data); });
             return;
@@ -949,7 +950,7 @@
 fleet_t::upstream_send(int u, int dest, const spp_t &h, const bytes_t &data)
 {
     bytes_t datagram(SPP_LEN + data.size());
-    addr_t from = up[u].addr;
+    addr_t from = upstreams[u].addr;
     if (opt.baseline) {
         transmit(PARTY_UPSTREAM + u, PARTY_OUTSIDE,
                  [=] { client_receive(h.service, h.client, data); });
@@ -957,7 +958,7 @@
     }
     int i = dest == PARTY_OUTSIDE ? fabric_pick() : dest;
 
-    if (i < 0 || blackholed.count(addr_id(&h.client) ^ up[u].id) > 0) {
+    if (i < 0 || blackholed.count(addr_id(&h.client) ^ upstreams[u].id) > 0) {
         return;
     }
     spp_write(datagram.data(), &h);
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -39,8 +39,8 @@
     int upstreams[SERVICE_COUNT] = {4, 3, 3};
     int slots = 2;
     int queue = 4;
-    ms_t run_ms = 60;  /* time that an upstream works on a request */
-    bool tail = false; /* heavy-tailed times with mean run_ms */
+    ms_t run_ms = 60;        /* time that an upstream works on a request */
+    bool heavy_tail = false; /* heavy-tailed times with mean run_ms */
     int urgent_slots[SERVICE_COUNT] = {1, 0, 0};
     prefer_t prefer = PREFER_STABILITY;
     bool repeat_uploads = false; /* start a new upload when one ends */
@@ -59,7 +59,7 @@
 
 /* One instance's view of another. */
 struct peer_view_t {
-    bool known = false;
+    bool listed = false;
     member_state_t state = MEMBER_JOINING;
     uint32_t incarnation = 0;
     uint64_t version = 0;
@@ -78,7 +78,7 @@
     addr_t own = {};
     uint32_t incarnation = 1;
     member_state_t state = MEMBER_ACTIVE;
-    bool alive = true, paused = false, left = false;
+    bool alive = true, paused = false, left_cleanly = false;
     bool in_fabric = true;
     int generation = 0; /* callbacks of an earlier generation do nothing */
     ms_t started = 0;
@@ -122,7 +122,7 @@
     uint64_t id = 0;
     int service = 0;
     uint32_t epoch = 1;
-    bool up = true, draining = false;
+    bool running = true, draining = false;
     ms_t drain_started = MS_NEVER; /* new work is late 4 s after this */
     ms_t run_ms = 0, up_at = 0;
     int busy = 0, reported_busy = -1; /* -1: the real load */
@@ -222,7 +222,7 @@
     rng_t rng;
     double loss;
     std::vector<instance_t> inst;
-    std::vector<upstream_t> up;
+    std::vector<upstream_t> upstreams;
     std::deque<call_t> calls;
     /* By payload ID: "UPSTREAM/EPOCH" of each run. */
     std::map<std::string, std::vector<std::string>> runs;
--- a/test/fleet_ends.cc
+++ b/test/fleet_ends.cc
@@ -82,7 +82,7 @@
 fleet_t::upstream_add(int service)
 {
     upstream_t x;
-    int u = (int)up.size();
+    int u = (int)upstreams.size();
     conf_upstream_t entry = {};
 
     char text[ADDR_STRLEN];
@@ -98,7 +98,7 @@
     entry.slots = (uint16_t)opt.slots;
     entry.connections = 2000;
     entry.weight = 10;
-    up.push_back(std::move(x));
+    upstreams.push_back(std::move(x));
     upstream_conf[u] = entry;
     upstream_service[u] = service;
 }
@@ -106,10 +106,10 @@
 void
 fleet_t::kill_upstream(int u)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
 
     trace_event("kill upstream %d", u);
-    x.up = false;
+    x.running = false;
     x.epoch++;
     x.busy = 0;
     x.queue.clear();
@@ -122,26 +122,26 @@
 void
 fleet_t::restart_upstream(int u, ms_t duration, int service)
 {
-    if (!up[u].up) {
+    if (!upstreams[u].running) {
         return;
     }
     kill_upstream(u);
     after(std::max<ms_t>(duration, TRUST_MS), [=] {
-        up[u].up = true;
-        up[u].up_at = now;
-        up[u].draining = false;
+        upstreams[u].running = true;
+        upstreams[u].up_at = now;
+        upstreams[u].draining = false;
         if (service >= 0) {
-            up[u].service = service;
+            upstreams[u].service = service;
         }
-        trace_event("upstream %d up, service %d", u, up[u].service);
+        trace_event("upstream %d up, service %d", u, upstreams[u].service);
     });
 }
 
 int
 fleet_t::feed_upstream(const std::string &id)
 {
-    for (int u = 0; u < (int)up.size(); u++) {
-        for (auto &[key, feed] : up[u].feeds) {
+    for (int u = 0; u < (int)upstreams.size(); u++) {
+        for (auto &[key, feed] : upstreams[u].feeds) {
             if (feed.id == id) {
                 return u;
             }
@@ -157,7 +157,7 @@
 
     if (u >= 0) {
         trace_event("mute %s at upstream %d", c.id.c_str(), u);
-        blackholed.insert(addr_id(&c.client) ^ up[u].id);
+        blackholed.insert(addr_id(&c.client) ^ upstreams[u].id);
     }
 }
 
@@ -175,7 +175,7 @@
 void
 fleet_t::count_late_work(int u, const bytes_t &data)
 {
-    const upstream_t &x = up[u];
+    const upstream_t &x = upstreams[u];
     std::string id = request_id(data.data(), data.size());
 
     if (x.drain_started != MS_NEVER &&
@@ -188,10 +188,10 @@
 void
 fleet_t::upstream_receive(int u, int source, bytes_t data)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     spp_t h;
 
-    if (!x.up || spp_read(&h, data.data(), data.size()) < 0 ||
+    if (!x.running || spp_read(&h, data.data(), data.size()) < 0 ||
         blackholed.count(addr_id(&h.client) ^ x.id) > 0) {
         return;
     }
@@ -222,7 +222,7 @@
 fleet_t::upstream_control(int u, int source, const spp_t &h,
                           const coap_msg_t &m)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     coap_type_t type = m.type == COAP_T_CON ? COAP_T_ACK : COAP_T_NON;
     coap_msg_t r = message(type, COAP_CONTENT, m.mid, token_of(m));
     char text[256], addr[ADDR_STRLEN];
@@ -292,7 +292,7 @@
 void
 fleet_t::upstream_raw(int u, int source, const spp_t &h, bytes_t data)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     std::string text(data.begin(), data.end());
     bool opening = text.size() > 2 && text.substr(text.size() - 2) == ".0";
 
@@ -311,7 +311,7 @@
 void
 fleet_t::upstream_coap(int u, int source, const spp_t &h, bytes_t data)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     coap_msg_t m;
 
     coap_decode(&m, data.data(), data.size());
@@ -401,9 +401,10 @@
 ms_t
 fleet_t::run_duration(int u, const coap_msg_t &m)
 {
-    ms_t mean = m.block1 == COAP_NONE ? up[u].run_ms : up[u].run_ms / 4;
+    ms_t mean =
+        m.block1 == COAP_NONE ? upstreams[u].run_ms : upstreams[u].run_ms / 4;
 
-    if (!opt.tail) {
+    if (!opt.heavy_tail) {
         return mean;
     }
     /* Pareto with shape 1.5: the mean is 3 times the minimum. */
@@ -415,7 +416,7 @@
 void
 fleet_t::upstream_start(int u)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
 
     while (x.busy < opt.slots && !x.queue.empty()) {
         job_t j = x.queue.front();
@@ -451,7 +452,7 @@
 fleet_t::upstream_execute(int u, const job_t &j, const coap_msg_t &m,
                           std::string &body)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     coap_type_t type = m.type == COAP_T_CON ? COAP_T_ACK : COAP_T_NON;
     coap_msg_t r = message(type, COAP_CHANGED, m.mid, token_of(m));
     std::string text = text_of(m);
@@ -491,7 +492,7 @@
 void
 fleet_t::upstream_finish(int u, uint32_t epoch, const job_t &j)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     coap_msg_t m;
     std::string body;
 
@@ -530,7 +531,7 @@
 fleet_t::upstream_retransmit(int u, uint32_t epoch, const spp_t &h,
                              uint64_t key, uint16_t mid, int tries)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
 
     if (x.epoch != epoch || tries > max_retransmit) {
         return;
@@ -550,7 +551,7 @@
 fleet_t::upstream_observe(int u, int source, const spp_t &h,
                           const coap_msg_t &m, uint64_t key)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     std::string name = feed_key(h.client, m);
     coap_msg_t r = message(COAP_T_ACK, COAP_CONTENT, m.mid, token_of(m));
 
@@ -586,7 +587,7 @@
 void
 fleet_t::feed_tick(int u, uint32_t epoch, const std::string &key)
 {
-    upstream_t &x = up[u];
+    upstream_t &x = upstreams[u];
     auto it = x.feeds.find(key);
 
     if (x.epoch != epoch || it == x.feeds.end()) {
--- a/test/script.cc
+++ b/test/script.cc
@@ -172,10 +172,10 @@
         f.kill_upstream(parse_upstream(f, w[1]));
     }
     else if (v == "freeze") { /* reports the given load from now on */
-        f.up[parse_upstream(f, w[1])].reported_busy = int_arg(w, 2, 0);
+        f.upstreams[parse_upstream(f, w[1])].reported_busy = int_arg(w, 2, 0);
     }
     else if (v == "run-ms") { /* run time of requests from now on */
-        for (upstream_t &u : f.up) {
+        for (upstream_t &u : f.upstreams) {
             u.run_ms = std::stoi(w[1]);
         }
     }
