--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -539,17 +539,16 @@
     fleet_options_t o;
     o.feed_silent_ms = 3000;
 
-    run_seeds(
-        o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 8
         10000 mute F3
         40000 end)",
-        [](fleet_t &f) {
-            EXPECT_EQ("F3 ended\n", unexpected_outcomes(f, CALL_FEED, "live"));
-            EXPECT_LT(f.calls[2].ended - f.origin, 19000);
-            EXPECT_EQ(9u,
-                      f.calls.size()); /* the caller has opened a new feed */
-        });
+              [](fleet_t &f) {
+                  EXPECT_EQ("F3 ended\n",
+                            unexpected_outcomes(f, CALL_FEED, "live"));
+                  EXPECT_LT(f.calls[2].ended - f.origin, 19000);
+                  EXPECT_EQ(9u, f.calls.size()); /* one was opened again */
+              });
 }
 
 /* 8. Versions.
@@ -654,7 +653,7 @@
 /* Opens N requests, one per 50 ms: half the capacity of 4 x 2 slots at 200 ms
  * per request.  Returns the number that ran at UPSTREAM_EPOCH ("0/1"). */
 static int
-count_runs_under_load(fleet_t &f, int n, const std::string &upstream_epoch)
+count_runs_at(fleet_t &f, int n, const std::string &upstream_epoch)
 {
     int at = 0;
 
@@ -682,7 +681,7 @@
     o.run_ms = 200;
 
     run_seeds(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
-        EXPECT_LT(count_runs_under_load(f, 600, "0/1"),
+        EXPECT_LT(count_runs_at(f, 600, "0/1"),
                   300); /* its fair share is 150 */
         EXPECT_EQ(600, f.tally.done);
         EXPECT_EQ(no_violations, f.violations());
@@ -698,8 +697,7 @@
 
     run_seeds(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
               [](fleet_t &f) {
-                  EXPECT_GT(count_runs_under_load(f, 600, "0/1"),
-                            75); /* fair: 150 */
+                  EXPECT_GT(count_runs_at(f, 600, "0/1"), 75); /* fair: 150 */
                   EXPECT_EQ(no_violations, f.violations());
               });
 }
@@ -712,8 +710,7 @@
     o.run_ms = 200;
 
     run_seeds(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
-        EXPECT_LT(count_runs_under_load(f, 60, "0/2"),
-                  15); /* its fair share is 15 */
+        EXPECT_LT(count_runs_at(f, 60, "0/2"), 15); /* its fair share is 15 */
         EXPECT_EQ(no_violations, f.violations());
     });
 }
