--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -1,5 +1,5 @@
-// The ten hazards of the design, as scripted runs: the script on the left of
-// each test, the expected report on the right.  Times are virtual.
+// The ten hazards of the design as scripted runs of the simulated fleet.  Each
+// test runs a script and checks the report, under virtual time.
 #include "test/fleet.h"
 
 #include <errno.h>
@@ -8,13 +8,14 @@
 #include <unistd.h>
 #include <string.h>
 
-static const char zeros[] =
+static const char no_violations[] =
     "twice 0, false not-run 0, misdelivered 0, crossed 0, reverts 0, "
     "late work on leaving 0";
 
-/* Every call of KIND whose outcome differs from WANT, a line each. */
+/* Lists the calls of KIND whose outcome is not WANT, one per line. */
 static std::string
-others(const fleet_t &f, call_kind_t kind, const std::string &want)
+unexpected_outcomes(const fleet_t &f, call_kind_t kind,
+                    const std::string &want)
 {
     std::string s;
 
@@ -26,48 +27,47 @@
     return s;
 }
 
-/* Plays SCRIPT under seeds 1 to SEEDS: the promises hold, and what CHECK
- * looks for. */
+/* Runs SCRIPT with seeds 1 to SEEDS.  Expects no violation each time and calls
+ * CHECK, if any. */
 static void
-each_seed(fleet_options_t o, int seeds, const char *script,
+run_seeds(fleet_options_t o, int seeds, const char *script,
           void (*check)(fleet_t &) = nullptr)
 {
     for (int seed = 1; seed <= seeds; seed++) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         o.seed = (uint64_t)seed;
         fleet_t f(o);
-        f.play(script);
-        EXPECT_EQ(zeros, f.promises());
+        f.run_script(script);
+        EXPECT_EQ(no_violations, f.violations());
         if (check != nullptr) {
             check(f);
         }
     }
 }
 
-/* A fleet that has just started: no home is sure of anything. */
+/* A fleet that has just started: ownership of all slots is uncertain. */
 static fleet_options_t
-cold(void)
+no_warmup(void)
 {
     fleet_options_t o;
 
-    o.warm_ms = 0;
+    o.warmup_ms = 0;
     return o;
 }
 
 static void
-nothing_cut(fleet_t &f)
+expect_nothing_broken(fleet_t &f)
 {
-    EXPECT_EQ("", others(f, CALL_FEED, "live"));
-    EXPECT_EQ("", others(f, CALL_RAW, "live"));
-    EXPECT_EQ("", others(f, CALL_UPLOAD, "done"));
-    EXPECT_EQ("", others(f, CALL_POST, "done"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_FEED, "live"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_RAW, "live"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_UPLOAD, "done"));
+    EXPECT_EQ("", unexpected_outcomes(f, CALL_POST, "done"));
 }
 
-/* A healthy fleet first: without faults everything is answered. */
 TEST(Fleet, AnswersEverythingWithoutFaults)
 {
     fleet_t f(fleet_options_t{});
-    f.play(R"(
+    f.run_script(R"(
         4000  feed monitor
         4000  raw
         4500  post monitor
@@ -79,20 +79,20 @@
                           "P3 done, ran 1\n"
                           "R4 done\n"
                           "U5 done\n") +
-                  zeros + "\n",
+                  no_violations + "\n",
               f.report());
 }
 
-/* 1. Mid-flow datagram at an instance that never saw the flow.
- * The caller sees its feed stop, or its archive refused half way.  A new
- * version moves buckets, or a new instance takes the flow's next datagram,
- * and the choice made there differs from the one made at opening. */
-TEST(Hazard1, FlowsSurviveStrangersAndUnevenVersions)
+/* 1. A datagram in mid-flow reaches an instance that has no state of the flow.
+ * A new version moves buckets, or a new instance gets the flow's next
+ * datagram, and selects another upstream than at the start of the flow.  The
+ * caller's feed would stop, or its upload be refused half way. */
+TEST(Hazard1, FlowsSurviveOtherInstancesAndVersionSkew)
 {
     fleet_options_t o;
     o.skew_ms = 3000;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 30
         4000  raw 30
         5000  upload archive 6 blocks=60
@@ -108,16 +108,17 @@
         16000 join
         17000 leave 1
         60000 end)",
-              nothing_cut);
+              expect_nothing_broken);
 }
 
-/* 2. "Not run" that ran.
- * The caller reads "not run" and files the setpoint again; it lands twice.
- * Copy 1 went through the home, which then died; the retransmission reaches
- * the next home, which can't reach that upstream and would refuse. */
-TEST(Hazard2, NewHomeDoesNotSayNotRunOfWhatRan)
+/* 2. False "not run": the request has run.
+ * The owner forwards copy 1 and dies.  The retransmission reaches the next
+ * owner, which can't reach that upstream and would refuse the request.  A
+ * caller that gets "not run" sends its setpoint again, so that it runs
+ * twice. */
+TEST(Hazard2, NewOwnerDoesNotReportNotRunForAnExecutedRequest)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 post monitor
         5100 kill home:P1
@@ -132,11 +133,11 @@
               });
 }
 
-/* Has an upstream taken a block of upload ID? */
+/* Has an upstream received a block of upload ID? */
 static bool
-block_taken(const fleet_t &f, const std::string &id)
+block_received(const fleet_t &f, const std::string &id)
 {
-    for (const upstream_t &u : f.up) {
+    for (const upstream_t &u : f.upstreams) {
         for (const auto &it : u.uploads) {
             if (it.second.first == id) {
                 return true;
@@ -147,22 +148,22 @@
 }
 
 static void
-no_taken_block_is_not_run(fleet_t &f)
+expect_no_not_run_for_received_blocks(fleet_t &f)
 {
     for (const call_t &c : f.calls) {
-        if (c.kind == CALL_UPLOAD && block_taken(f, c.id)) {
+        if (c.kind == CALL_UPLOAD && block_received(f, c.id)) {
             EXPECT_NE("not run", c.outcome) << c.id;
         }
     }
 }
 
-/* 2, uploads.  An upstream has the first block, and the home that passed it on
- * dies before the answer.  The block comes again to the next home, which can't
- * use that upstream: "not run" would be false, since a block is there.  The
- * caller is told to start again. */
-TEST(Hazard2, NewHomeDoesNotSayNotRunOfATakenBlock)
+/* 2, uploads.  The owner forwards the first block and dies before the answer.
+ * The retransmitted block reaches the next owner, which can't use that
+ * upstream.  "Not run" would be false, since the upstream has a block, so the
+ * caller must get the answer to start again. */
+TEST(Hazard2, NewOwnerDoesNotReportNotRunForAReceivedBlock)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 upload archive blocks=6
         5100 kill home:U1
@@ -170,29 +171,30 @@
         5100 cut-all 5
         5100 cut-all 6
         60000 end)",
-              no_taken_block_is_not_run);
+              expect_no_not_run_for_received_blocks);
 }
 
-/* 2, uploads.  The same at the home itself: the upstream that has the block is
- * given up, and no other may be chosen. */
-TEST(Hazard2, AHomeDoesNotSayNotRunOfABlockThatItPassedOn)
+/* 2, uploads.  The same without a change of owner: the owner gives up the
+ * upstream that has the block, and may not select another. */
+TEST(Hazard2, OwnerDoesNotReportNotRunForAForwardedBlock)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 6000
         5000 upload archive blocks=6
         5100 cut-all 4
         5100 cut-all 5
         5100 cut-all 6
         60000 end)",
-              no_taken_block_is_not_run);
+              expect_no_not_run_for_received_blocks);
 }
 
-/* 2, short pause.  The home sleeps 1.7 s, longer than its peers' patience.
- * They forward copy 1 at the next home; the sleeper, sure that nothing has
- * happened, reads copy 2 and has no room for it. */
-TEST(Hazard2, SleeperThatWasReplacedDoesNotSayNotRun)
+/* 2, short pause.  The owner is paused for 1.7 s, longer than its peers'
+ * suspicion timeout.  The next owner forwards copy 1.  The resumed instance
+ * still treats its ownership as exclusive, reads copy 2 and has no room for
+ * it. */
+TEST(Hazard2, ReplacedOwnerDoesNotReportNotRunAfterAPause)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 300
         4500 post monitor client=9
         5000 pause home:P1 1700
@@ -203,11 +205,11 @@
         60000 end)");
 }
 
-/* 2, pauses.  The home sleeps for longer than its peers' patience, and up to
- * more than the trust in its upstreams.  Its peers forward copies meanwhile;
- * when it wakes, before its clock ticks and before it hears that it was
- * replaced, it reads the next copies. */
-TEST(Hazard2, SleeperDecidesNothingItCannotKnow)
+/* 2, pauses.  The owner is paused for longer than its peers' suspicion
+ * timeout, and up to more than the identity lease of its upstreams.  Its peers
+ * forward copies meanwhile.  The resumed instance reads further copies before
+ * its first tick and before it is informed that it was replaced. */
+TEST(Hazard2, PausedOwnerMakesNoStaleDecision)
 {
     fleet_options_t o;
 
@@ -220,14 +222,14 @@
         for (int t = 5200; t < 4000 + span; t += 100) {
             script += std::to_string(t) + " post monitor 2\n";
         }
-        each_seed(o, 8, (script + "60000 end").c_str());
+        run_seeds(o, 8, (script + "60000 end").c_str());
     }
 }
 
-/* 3. Second run.
- * Two crews go to one hall.  The home forwards the acknowledgement and dies;
- * the upstream it chose leaves the table; its backup dies too, and copies
- * reach a home for which another upstream is the first choice. */
+/* 3. A request runs twice, which would send two crews to one hall.
+ * The owner forwards the acknowledgement and dies.  The selected upstream
+ * leaves the table.  The backup dies too, and copies reach an owner whose
+ * first candidate is another upstream. */
 TEST(Hazard3, RetransmissionNeverRunsElsewhere)
 {
     static const char script[] = R"(
@@ -241,21 +243,21 @@
         9000 kill home:P2
         90000 end)";
 
-    each_seed(fleet_options_t(), 10, script);
-    each_seed(cold(), 10, script);
+    run_seeds(fleet_options_t(), 10, script);
+    run_seeds(no_warmup(), 10, script);
 }
 
-/* 3, two halves.  Both halves of a cut fleet get copies of one request, each
- * with a home of its own; first choices are full, so that each home would
- * take another upstream. */
-TEST(Hazard3, TwoHomesDoNotBothForward)
+/* 3, network partition.  Both sides of a partitioned fleet get copies of one
+ * request, and each side has its own owner.  The first candidates are full, so
+ * that each owner would select another upstream. */
+TEST(Hazard3, TwoOwnersDoNotBothForward)
 {
     fleet_options_t o;
     o.instances = 4;
     o.loss = 0.1;
     o.duplicate = 0.5;
 
-    each_seed(o, 12, R"(
+    run_seeds(o, 12, R"(
         4000 run-ms 3000
         4000 part 0 2
         4000 part 0 3
@@ -271,12 +273,12 @@
         60000 end)");
 }
 
-/* 3, upstream death.  The upstream runs the setpoint and dies before it
- * answers.  The caller must hear "outcome unknown" or nothing, and no other
+/* 3, upstream failure.  The upstream runs the setpoint and dies before it
+ * answers.  The caller must get "outcome unknown" or no answer, and no other
  * upstream may get the copies that follow. */
 TEST(Hazard3, DeathOfTheUpstreamEndsTheRequest)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000 run-ms 3000
         5000 post monitor
         6000 up-restart ran:P1 2000
@@ -288,13 +290,13 @@
               });
 }
 
-/* 3, message ID reuse.  A caller that restarted uses message ID 77 again for
- * another setpoint: within EXCHANGE_LIFETIME that is refused, as the upstream
- * would take it for a copy; afterwards it runs. */
+/* 3, message ID reuse.  A restarted caller uses message ID 77 again for
+ * another setpoint.  Within EXCHANGE_LIFETIME the request is refused, since
+ * the upstream would treat it as a copy.  Afterwards it runs. */
 TEST(Hazard3, MessageIdMayBeUsedAgainAfterItsLifetime)
 {
     fleet_t f(fleet_options_t{});
-    f.play(R"(
+    f.run_script(R"(
         5000   post monitor client=7 mid=77 token=1
         60000  post monitor client=7 mid=77 token=2
         320000 post monitor client=7 mid=77 token=3
@@ -302,27 +304,27 @@
     EXPECT_EQ(std::string("P1 done, ran 1\n"
                           "P2 not run, ran 0\n"
                           "P3 done, ran 1\n") +
-                  zeros + "\n",
+                  no_violations + "\n",
               f.report());
 }
 
-/* 3, a restart that learns nothing.  The caller's setpoint ran at an upstream
- * that has restarted since; its copy reaches an instance that has just started
- * and hears no peer, and takes the upstream for one that is new to the site.
- * Only the first instances of a site may think so.  (soak, seed 404) */
-TEST(Hazard3, RestartWithoutAPeerKnowsNoFirstListing)
+/* 3, restart without peers.  The caller's setpoint ran at an upstream that has
+ * restarted since.  A copy reaches an instance that has just started, has no
+ * contact to a peer, and treats the upstream as new to the site.  Only the
+ * first instances of a site may do so.  (Found by the soak test, seed 404.) */
+TEST(Hazard3, RestartWithoutPeersHasNoCompleteHistory)
 {
     fleet_options_t o;
     o.seed = 25;
     o.instances = 3;
-    o.warm_ms = 0;
+    o.warmup_ms = 0;
     o.loss = 0;
     o.duplicate = 0;
     o.skew_ms = 3000;
     o.run_ms = 5000;
     fleet_t f(o);
 
-    f.play(R"(
+    f.run_script(R"(
         4000 post monitor 4
         4010 deaf 1 2
         4010 leave 0
@@ -384,19 +386,19 @@
         23200 read monitor 2
         23600 post monitor 2
         75000 end)");
-    EXPECT_EQ(zeros, f.promises());
+    EXPECT_EQ(no_violations, f.violations());
 }
 
-/* 4. Wrong service.
- * Alarm acknowledgements arrive at the archive.  An address passes from one
- * service to the other while one instance holds the old version, or wakes
- * with a probe's answer that lay in its socket and is older than it looks. */
-TEST(Hazard4, RecycledAddressGetsNothingOfItsOldService)
+/* 4. Wrong service: alarm acknowledgements would reach the archive.
+ * An address moves from one service to another while an instance has the old
+ * version, or resumes and reads a probe's answer that was queued in its socket
+ * during the pause and so is older than its arrival time suggests. */
+TEST(Hazard4, ReassignedAddressGetsNothingForItsOldService)
 {
     fleet_options_t o;
     o.skew_ms = 4000;
 
-    each_seed(o, 20, R"(
+    run_seeds(o, 20, R"(
         4000  feed monitor 6
         5000  recycle 0 archive
         5100  post monitor 20
@@ -418,15 +420,16 @@
 }
 
 /* 4, slow probes.  A probe's answer takes up to 240 ms, and the upstream stops
- * as soon as it has answered.  Instances that are cut off hear of no change.
- * The trust must count from the question, or it outlasts the restart. */
-TEST(Hazard4, SlowAnswerDoesNotLengthenTrust)
+ * right after it has answered.  Isolated instances get no update.  The
+ * identity lease must start when the probe is sent, or it would outlast the
+ * restart. */
+TEST(Hazard4, SlowProbeAnswerDoesNotExtendTheLease)
 {
     fleet_options_t o;
     o.jitter_ms = 240;
     o.skew_ms = 9000;
 
-    each_seed(o, 12, R"(
+    run_seeds(o, 12, R"(
         4000 run-ms 20
         4500 raw 80
         4900 isolate 2
@@ -438,11 +441,11 @@
         12000 end)");
 }
 
-/* 5. Late and crossed answers.
- * A technician takes over a port whose last user is still waited for, and its
- * token too.  The first request's answer comes late and separate, so that
- * only the token could match: the second must not take it for its own. */
-TEST(Hazard5, LateAnswerIsNotTakenForAnother)
+/* 5. Late and mismatched answers.
+ * A caller gets the port and the token of an earlier caller whose request is
+ * still open.  The answer to that request is late and separate, so that only
+ * its token could match.  It must not reach the second request. */
+TEST(Hazard5, LateAnswerIsNotMatchedToAnotherRequest)
 {
     static const char script[] = R"(
         4000  run-ms 7000
@@ -451,15 +454,15 @@
         9000  post monitor client=5 mid=11 token=9
         60000 end)";
 
-    each_seed(fleet_options_t(), 10, script);
-    each_seed(cold(), 10, script);
+    run_seeds(fleet_options_t(), 10, script);
+    run_seeds(no_warmup(), 10, script);
 }
 
-/* 5, epochs.  An answer from an upstream's earlier life, or to a request that
- * was cancelled, arrives when the port serves another caller. */
+/* 5, epochs.  An answer from an upstream's earlier epoch, or to a cancelled
+ * request, arrives when another caller uses the port. */
 TEST(Hazard5, AnswerOfAnEarlierEpochIsDropped)
 {
-    each_seed(fleet_options_t(), 10, R"(
+    run_seeds(fleet_options_t(), 10, R"(
         4000  run-ms 4000
         5000  post monitor client=5 mid=10 token=9
         7000  up-restart ran:P1 1600
@@ -469,11 +472,11 @@
         60000 end)");
 }
 
-/* 6. Drain of an instance and of upstreams, with a change of configuration.
- * The caller sees a feed stop or an archive cut on a planned stop.  The
- * fabric still hands datagrams to the leaving instance for 2 s, the version
- * is uneven, and only the leaving instance knew of some pins. */
-TEST(Hazard6, LeavingCutsNothing)
+/* 6. Drain of an instance and of upstreams, with a configuration change.
+ * The fabric still sends datagrams to the leaving instance for 2 s, instances
+ * have different versions, and some pins exist only at the leaving instance.
+ * A caller's feed or upload would break on a planned stop. */
+TEST(Hazard6, LeavingBreaksNoFlow)
 {
     static const char script[] = R"(
         4000  feed monitor 20
@@ -493,13 +496,13 @@
         12000 post monitor 4
         60000 end)";
 
-    each_seed(fleet_options_t(), 5, script, nothing_cut);
-    each_seed(cold(), 5, script, nothing_cut);
+    run_seeds(fleet_options_t(), 5, script, expect_nothing_broken);
+    run_seeds(no_warmup(), 5, script, expect_nothing_broken);
 }
 
-/* 6, two leave, one soon after the other.  The second holds the first one's
- * pins for it, and must hand those on as well. */
-TEST(Hazard6, LeavingOneAfterTheOtherCutsNothing)
+/* 6, two instances leave shortly one after the other.  The second has backup
+ * copies of the first one's pins, and must hand these over as well. */
+TEST(Hazard6, SuccessiveLeavesBreakNoFlow)
 {
     fleet_options_t o;
     o.instances = 3;
@@ -509,16 +512,17 @@
                              "4500 upload archive 3 blocks=60\n"
                              "5000 leave 1\n" +
                              std::to_string(t) + " leave 0\n60000 end";
-        each_seed(o, 2, script.c_str(), nothing_cut);
+        run_seeds(o, 2, script.c_str(), expect_nothing_broken);
     }
 }
 
-/* 6, cut off.  An instance that hears neither peers nor the platform learns
- * from the upstream itself that it is leaving; and those that suspect the cut
- * off instance open no feed where an earlier version would have. */
-TEST(Hazard6, CutOffInstanceStopsNewWorkOnLeavingUpstream)
+/* 6, isolated instance.  An instance that reaches neither peers nor the
+ * platform must detect the drain by the upstream's own report.  Instances that
+ * suspect the isolated one must not open feeds at the draining upstream
+ * because it was the candidate in an earlier version. */
+TEST(Hazard6, IsolatedInstanceSendsNoNewWorkToDrainingUpstream)
 {
-    each_seed(fleet_options_t(), 5, R"(
+    run_seeds(fleet_options_t(), 5, R"(
         5000  isolate 2
         7000  drain 0
         14000 post monitor 60
@@ -527,30 +531,31 @@
 }
 
 /* 7. Silent flow.
- * A feed freezes without a word: something between the ends has lost track of
- * its flow, while new ones work.  The caller must be told, soon, and the
- * other feeds left alone. */
-TEST(Hazard7, SilentFeedIsToldAndOthersLive)
+ * A feed stops without an error: a middlebox has lost the flow's state, while
+ * new flows work.  The caller must soon get an error, and the other feeds must
+ * continue. */
+TEST(Hazard7, SilentFeedEndsAndOthersContinue)
 {
     fleet_options_t o;
     o.feed_silent_ms = 3000;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 8
         10000 mute F3
         40000 end)",
               [](fleet_t &f) {
-                  EXPECT_EQ("F3 ended\n", others(f, CALL_FEED, "live"));
+                  EXPECT_EQ("F3 ended\n",
+                            unexpected_outcomes(f, CALL_FEED, "live"));
                   EXPECT_LT(f.calls[2].ended - f.origin, 19000);
-                  EXPECT_EQ(9u, f.calls.size()); /* it opened anew */
+                  EXPECT_EQ(9u, f.calls.size()); /* one was opened again */
               });
 }
 
 /* 8. Versions.
- * A change that operators made vanishes: a stale read or a peer cut off for a
- * minute brings the old version back.  And while two versions are in force,
- * one acknowledgement must not run under each. */
-TEST(Hazard8, VersionsNeverRevertAndTwoInForceDoNotRunTwice)
+ * A stale read or a peer that was isolated for a minute would bring back an
+ * old version and revert an operator's change.  While two versions are in
+ * force, an acknowledgement must not run under both. */
+TEST(Hazard8, VersionsNeverRevertAndMixedVersionsRunNothingTwice)
 {
     static const char script[] = R"(
         4000  run-ms 1500
@@ -565,7 +570,7 @@
         21000 weight 0 5
         22000 post monitor 30
         120000 end)";
-    auto newest = [](fleet_t &f) {
+    auto expect_newest_version = [](fleet_t &f) {
         for (const instance_t &n : f.inst) {
             EXPECT_EQ(5u, core_version(n.core)) << n.name;
         }
@@ -573,14 +578,14 @@
     fleet_options_t o;
 
     o.loss = 0.1;
-    each_seed(o, 10, script, newest);
-    o.warm_ms = 0;
-    each_seed(o, 10, script, newest);
+    run_seeds(o, 10, script, expect_newest_version);
+    o.warmup_ms = 0;
+    run_seeds(o, 10, script, expect_newest_version);
 }
 
-/* 9. Two faults at once, each pair of them, under load.  Whatever is lost,
- * nothing runs twice, nothing that ran is called "not run", and nothing
- * reaches the wrong service. */
+/* 9. Every pair of faults at once, under load.  Datagrams and flows may be
+ * lost, but nothing runs twice, no request that ran is answered "not run", and
+ * nothing reaches the wrong service. */
 TEST(Hazard9, AnyTwoFaultsAtOnce)
 {
     static const char *const faults[] = {
@@ -602,52 +607,53 @@
         script += std::string(second) + "\n6200 post monitor 10\n"
                                         "8000 heal\n"
                                         "8100 post monitor 10\n60000 end";
-        each_seed(o, 1, script.c_str());
+        run_seeds(o, 1, script.c_str());
     }
 }
 
-/* 9, one death.  The caller's feed must go on when an instance dies: its home
- * was the only one to know a pin that differs from the first choice, but for
- * the backup's copy.  Only datagrams in flight are lost. */
+/* 9, instance failure.  Feeds must continue when an instance dies.  A pin that
+ * differs from the first candidate exists only at the owner and, as a copy, at
+ * the backup.  Only datagrams in flight are lost. */
 TEST(Hazard9, DeathOfAnInstanceBreaksNoFlow)
 {
     fleet_options_t o;
     o.instances = 7;
 
-    each_seed(o, 5, R"(
+    run_seeds(o, 5, R"(
         4000  feed monitor 60
         4000  raw 60
         5000  upload archive 3 blocks=60
         9000  kill 2
         60000 end)",
-              nothing_cut);
+              expect_nothing_broken);
 }
 
-/* 9, death of an upstream.  Its own feeds are lost, and their callers are
- * told within seconds; nobody else's are. */
+/* 9, upstream failure.  The upstream's feeds end with an error within seconds;
+ * no other feed is affected. */
 TEST(Hazard9, DeathOfAnUpstreamEndsItsOwnFeedsAlone)
 {
-    each_seed(fleet_options_t(), 5, "4000 feed monitor 40\n9000 end",
+    run_seeds(fleet_options_t(), 5, "4000 feed monitor 40\n9000 end",
               [](fleet_t &f) {
                   ms_t died = f.now;
                   std::string own;
                   for (const call_t &c : f.calls) {
-                      own += f.holder(c.id) == 1 ? c.id + " ended\n" : "";
+                      own +=
+                          f.feed_upstream(c.id) == 1 ? c.id + " ended\n" : "";
                   }
                   EXPECT_NE("", own);
                   f.kill_upstream(1);
                   f.run_until(f.now + 30000);
-                  EXPECT_EQ(own, others(f, CALL_FEED, "live"));
+                  EXPECT_EQ(own, unexpected_outcomes(f, CALL_FEED, "live"));
                   for (const call_t &c : f.calls) {
-                      EXPECT_LT(c.over ? c.ended - died : 0, 4000) << c.id;
+                      EXPECT_LT(c.finished ? c.ended - died : 0, 4000) << c.id;
                   }
               });
 }
 
-/* Opens N requests, one each 50 ms: half of what 4 x 2 slots can do in
- * 200 ms each.  Returns how many ran at upstream PLACE ("0/1"). */
+/* Opens N requests, one per 50 ms: half the capacity of 4 x 2 slots at 200 ms
+ * per request.  Returns the number that ran at UPSTREAM_EPOCH ("0/1"). */
 static int
-load_at(fleet_t &f, int n, const std::string &place)
+count_runs_at(fleet_t &f, int n, const std::string &upstream_epoch)
 {
     int at = 0;
 
@@ -657,53 +663,55 @@
     }
     f.run_until(f.now + 20000);
     for (const call_t &c : f.calls) {
-        for (const std::string &where : f.runs[c.id]) {
-            at += where == place;
+        for (const std::string &run : f.runs[c.id]) {
+            at += run == upstream_epoch;
         }
     }
     return at;
 }
 
-/* 10. Lying load and health.
- * One upstream's report is frozen at idle, so that the least loaded of the
- * reports draws everything; it sheds, and callers are refused while others
- * have room.  What an instance sees itself must count more. */
-TEST(Hazard10, FrozenReportDoesNotDrawEverything)
+/* 10. Wrong load and health reports.
+ * One upstream's report is frozen at idle.  A choice by the lowest reported
+ * load would send all requests there; the upstream would shed them, and
+ * callers would be refused while other upstreams have room.  An instance's own
+ * measurements must count more than reports. */
+TEST(Hazard10, FrozenLoadReportDoesNotAttractAllRequests)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
-        EXPECT_LT(load_at(f, 600, "0/1"), 300); /* its fair share is 150 */
+    run_seeds(o, 3, "4000 freeze 0 0\n5000 end", [](fleet_t &f) {
+        EXPECT_LT(count_runs_at(f, 600, "0/1"),
+                  300); /* its fair share is 150 */
         EXPECT_EQ(600, f.tally.done);
-        EXPECT_EQ(zeros, f.promises());
+        EXPECT_EQ(no_violations, f.violations());
     });
 }
 
-/* 10, frozen high.  A report that is stuck at "full" must not keep work from
- * an idle upstream for good. */
-TEST(Hazard10, ReportStuckHighDoesNotStarve)
+/* 10, stuck high.  A report that is stuck at "full" must not keep work from an
+ * idle upstream permanently. */
+TEST(Hazard10, LoadReportStuckHighDoesNotStarveTheUpstream)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
+    run_seeds(o, 3, "4000 post monitor 20\n4900 freeze 0 6\n6000 end",
               [](fleet_t &f) {
-                  EXPECT_GT(load_at(f, 600, "0/1"), 75); /* fair: 150 */
-                  EXPECT_EQ(zeros, f.promises());
+                  EXPECT_GT(count_runs_at(f, 600, "0/1"), 75); /* fair: 150 */
+                  EXPECT_EQ(no_violations, f.violations());
               });
 }
 
-/* 10, cold.  An upstream that has just started looks idle to all instances at
- * once, and must not draw everything. */
-TEST(Hazard10, ColdUpstreamDoesNotDrawEverything)
+/* 10, restart.  An upstream that has just started appears idle to all
+ * instances at once, and must not get all requests. */
+TEST(Hazard10, RestartedUpstreamDoesNotAttractAllRequests)
 {
     fleet_options_t o;
     o.run_ms = 200;
 
-    each_seed(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
-        EXPECT_LT(load_at(f, 60, "0/2"), 15); /* its fair share is 15 */
-        EXPECT_EQ(zeros, f.promises());
+    run_seeds(o, 3, "4000 up-restart 0 3000\n7500 end", [](fleet_t &f) {
+        EXPECT_LT(count_runs_at(f, 60, "0/2"), 15); /* its fair share is 15 */
+        EXPECT_EQ(no_violations, f.violations());
     });
 }
 
@@ -715,13 +723,13 @@
             .port = port};
 }
 
-/* A configuration of SERVICES with EACH upstreams. */
-struct Site {
+/* A configuration of N_SERVICES services with EACH upstreams. */
+struct SiteConf {
     std::vector<conf_upstream_t> ups;
     std::vector<conf_service_t> services;
     conf_t conf = {};
 
-    Site(uint64_t version, uint32_t n_services, uint32_t each)
+    SiteConf(uint64_t version, uint32_t n_services, uint32_t each)
         : ups((size_t)n_services * each), services(n_services)
     {
         for (uint32_t i = 0; i < ups.size(); i++) {
@@ -743,7 +751,7 @@
 };
 
 static core_t *
-quiet_core()
+core_without_output()
 {
     core_params_t p = {.self = 1,
                        .own_addr = ipv4(0x0b000001, 7000),
@@ -756,14 +764,13 @@
         &p, [](void *, const core_out_t *) {}, nullptr);
 }
 
-/* A site of 120,000 upstreams.  With a narrower index than they need, the
- * last ones take the places of the first, and requests go to a service they
- * aren't meant for. */
-TEST(Size, EveryUpstreamKeepsItsPlace)
+/* Sites may have 120,000 upstreams.  If the index type is too narrow, the last
+ * ones overwrite the first, and requests reach the wrong service. */
+TEST(Size, EveryUpstreamKeepsItsIndex)
 {
     const uint32_t each = 10;
-    Site site(1, 7000, each);
-    core_t *c = quiet_core();
+    SiteConf site(1, 7000, each);
+    core_t *c = core_without_output();
 
     ASSERT_NE(c, nullptr);
     ASSERT_EQ(core_set_conf(c, 1000, &site.conf), 0);
@@ -776,26 +783,26 @@
     core_free(c);
 }
 
-/* ---- Memory runs out ---- */
+/* ---- Out of memory ---- */
 
-static const size_t ROOM_MB = 128;
+static const size_t MEMORY_LIMIT_MB = 128;
 
 #ifdef __SANITIZE_ADDRESS__
-/* Its allocator takes no limit at run time: one block of more than ROOM_MB is
- * refused throughout. */
+/* The sanitizer's allocator has no run-time limit: for the whole run, a block
+ * of more than MEMORY_LIMIT_MB is refused. */
 extern "C" const char *
 __asan_default_options()
 {
     return "allocator_may_return_null=1:max_allocation_size_mb=128";
 }
 
-struct LittleMemory {};
+struct MemoryLimit {};
 #else
-/* The address space may grow by ROOM_MB, while it exists. */
-struct LittleMemory {
+/* While an object exists, the address space may grow by MEMORY_LIMIT_MB. */
+struct MemoryLimit {
     rlimit before;
 
-    LittleMemory()
+    MemoryLimit()
     {
         size_t pages = 0;
         FILE *f = fopen("/proc/self/statm", "r");
@@ -803,29 +810,29 @@
         fclose(f);
         getrlimit(RLIMIT_AS, &before);
         rlimit now = before;
-        now.rlim_cur = pages * (size_t)getpagesize() + (ROOM_MB << 20);
+        now.rlim_cur = pages * (size_t)getpagesize() + (MEMORY_LIMIT_MB << 20);
         setrlimit(RLIMIT_AS, &now);
     }
-    ~LittleMemory()
+    ~MemoryLimit()
     {
         setrlimit(RLIMIT_AS, &before);
     }
 };
 #endif
 
-/* A version needs more memory than there is.  Taken in part, it would leave
- * services without upstreams, or end the process: callers go on by the version
- * before, and a smaller one is taken later. */
-TEST(Memory, TheVersionBeforeStays)
+/* A version needs more memory than is available.  If applied in part, it would
+ * leave services without upstreams or crash the process.  The previous version
+ * must stay in force, and a smaller version must be accepted later. */
+TEST(Memory, OutOfMemoryKeepsThePreviousVersion)
 {
-    Site small(1, 2, 3), large(2, 60000, 10), next(3, 3, 3);
+    SiteConf small(1, 2, 3), large(2, 60000, 10), next(3, 3, 3);
     std::vector<core_upstream_t> seen(20);
-    core_t *c = quiet_core();
+    core_t *c = core_without_output();
 
     ASSERT_NE(c, nullptr);
     ASSERT_EQ(core_set_conf(c, 1000, &small.conf), 0);
     {
-        [[maybe_unused]] LittleMemory little;
+        [[maybe_unused]] MemoryLimit limit;
         EXPECT_EQ(core_set_conf(c, 2000, &large.conf), -ENOMEM);
     }
     EXPECT_EQ(core_version(c), 1u);
