--- a/conf/check.c
+++ b/conf/check.c
@@ -1,6 +1,6 @@
 /* The rules between tables: what no single value can show. */
 #include "conf/model.h"
-#include "conf/places.h"
+#include "conf/addr_index.h"
 #include "wire/wire.h"
 
 #include <errno.h>
@@ -49,15 +49,16 @@
 
 /* Equal addresses are neighbours. */
 static int
-check_addresses(const draft_t *d, const places_t *services, err_t *e)
+check_service_addresses(const draft_t *d, const addr_index_t *services,
+                        err_t *e)
 {
     char addr[ADDR_STRLEN];
 
     for (size_t i = 1; i < services->n; i++) {
-        const place_t *p = &services->place[i];
-        const service_draft_t *a = &d->services[p[-1].service];
-        const service_draft_t *b = &d->services[p->service];
-        if (p[-1].id == p->id) {
+        const addr_entry_t *at = &services->entry[i];
+        const service_draft_t *a = &d->services[at[-1].service];
+        const service_draft_t *b = &d->services[at->service];
+        if (at[-1].id == at->id) {
             return toml_fail(e, d->base_file, b->line,
                              "services %s and %s both have address %s; "
                              "expected one for each",
@@ -69,7 +70,7 @@
 }
 
 static int
-check_upstream(const draft_t *d, const places_t *services,
+check_upstream(const draft_t *d, const addr_index_t *services,
                const upstream_draft_t *u, err_t *e)
 {
     const conf_service_t *s = &d->services[u->service].s;
@@ -83,7 +84,7 @@
                          addr_text(&u->u.addr, addr), u->u.slots, s->name,
                          s->urgent_slots);
     }
-    other = places_find(services, u->u.id);
+    other = addr_index_find(services, u->u.id);
     if (other >= 0) {
         return toml_fail(e, u->file, u->line,
                          "upstream %s is the address of service %s; "
@@ -96,7 +97,7 @@
 
 /* The upstreams are sorted by id: equal ones are neighbours. */
 static int
-check_twice(const draft_t *d, err_t *e)
+check_duplicate_upstreams(const draft_t *d, err_t *e)
 {
     char addr[ADDR_STRLEN];
 
@@ -123,7 +124,7 @@
 }
 
 static int
-check_empty(const draft_t *d, err_t *e)
+check_empty_services(const draft_t *d, err_t *e)
 {
     for (uint32_t i = 0; i < d->n_services; i++) {
         if (d->services[i].s.n_upstreams == 0) {
@@ -137,7 +138,7 @@
 }
 
 static int
-check_each(const draft_t *d, const places_t *services, err_t *e)
+check_entries(const draft_t *d, const addr_index_t *services, err_t *e)
 {
     int rc = 0;
 
@@ -145,7 +146,7 @@
         rc = check_service(d, i, e);
     }
     if (rc == 0) {
-        rc = check_addresses(d, services, e);
+        rc = check_service_addresses(d, services, e);
     }
     for (uint32_t i = 0; rc == 0 && i < d->n_upstreams; i++) {
         rc = check_upstream(d, services, &d->upstreams[i], e);
@@ -154,27 +155,27 @@
 }
 
 static int
-check_places(const draft_t *d, err_t *e)
+check_services_and_upstreams(const draft_t *d, err_t *e)
 {
-    places_t services;
+    addr_index_t services;
     int rc;
 
-    if (places_open(&services, d->n_services) < 0) {
+    if (addr_index_open(&services, d->n_services) < 0) {
         return err_set(e, -ENOMEM, "check", d->base_file, "Out of memory.");
     }
     for (uint32_t i = 0; i < d->n_services; i++) {
-        places_add(&services, addr_id(&d->services[i].s.addr), i);
+        addr_index_add(&services, addr_id(&d->services[i].s.addr), i);
     }
-    places_sort(&services);
-    rc = check_each(d, &services, e);
-    places_close(&services);
+    addr_index_sort(&services);
+    rc = check_entries(d, &services, e);
+    addr_index_close(&services);
     return rc;
 }
 
 int
 draft_check(draft_t *d, err_t *e)
 {
-    int rc = check_places(d, e);
+    int rc = check_services_and_upstreams(d, e);
 
     if (rc < 0) {
         return rc;
@@ -182,7 +183,7 @@
     if (d->n_upstreams > 0) {
         qsort(d->upstreams, d->n_upstreams, sizeof(*d->upstreams), by_id);
     }
-    rc = check_twice(d, e);
+    rc = check_duplicate_upstreams(d, e);
     if (rc < 0) {
         return rc;
     }
@@ -190,5 +191,5 @@
         qsort(d->upstreams, d->n_upstreams, sizeof(*d->upstreams),
               by_service_and_id);
     }
-    return check_empty(d, e);
+    return check_empty_services(d, e);
 }
--- a/conf/diff.c
+++ b/conf/diff.c
@@ -1,6 +1,6 @@
 /* What differs between two versions, and whether one may follow the other. */
 #include "conf/model.h"
-#include "conf/places.h"
+#include "conf/addr_index.h"
 #include "wire/wire.h"
 
 #include <errno.h>
@@ -16,7 +16,7 @@
 } diff_t;
 
 static void __attribute__((format(printf, 2, 3)))
-say(diff_t *d, const char *fmt, ...)
+emit_line(diff_t *d, const char *fmt, ...)
 {
     char text[TEXT_LEN * 2];
     va_list ap;
@@ -40,7 +40,7 @@
         field_text(&fields[i], a, x, sizeof(x));
         field_text(&fields[i], b, y, sizeof(y));
         if (strcmp(x, y) != 0) {
-            say(d, "~ %s %s: %s -> %s", subject, fields[i].key, x, y);
+            emit_line(d, "~ %s %s: %s -> %s", subject, fields[i].key, x, y);
         }
     }
 }
@@ -56,14 +56,14 @@
 }
 
 static void
-say_upstream(diff_t *d, char sign, const conf_service_t *s,
-             const conf_upstream_t *u)
+emit_upstream(diff_t *d, char sign, const conf_service_t *s,
+              const conf_upstream_t *u)
 {
     char subject[TEXT_LEN];
 
-    say(d, "%c %s: %s, slots %u, connections %u, weight %u%s", sign,
-        upstream_subject(s, u, subject), u->data_centre, u->slots,
-        u->connections, u->weight, u->draining ? ", draining" : "");
+    emit_line(d, "%c %s: %s, slots %u, connections %u, weight %u%s", sign,
+              upstream_subject(s, u, subject), u->data_centre, u->slots,
+              u->connections, u->weight, u->draining ? ", draining" : "");
 }
 
 static void
@@ -75,20 +75,20 @@
     upstream_subject(s, a, subject);
     diff_fields(d, subject, upstream_fields, n_upstream_fields, a, b);
     if (strcmp(a->data_centre, b->data_centre) != 0) {
-        say(d, "~ %s data_centre: %s -> %s", subject, a->data_centre,
-            b->data_centre);
+        emit_line(d, "~ %s data_centre: %s -> %s", subject, a->data_centre,
+                  b->data_centre);
     }
 }
 
 /* Those of FROM that TO lacks; TO may be NULL. */
 static void
-say_missing(diff_t *d, char sign, const conf_service_t *from,
-            const conf_service_t *to)
+emit_missing(diff_t *d, char sign, const conf_service_t *from,
+             const conf_service_t *to)
 {
     for (uint32_t i = 0; i < from->n_upstreams; i++) {
         const conf_upstream_t *u = &from->upstreams[i];
         if (to == NULL || conf_upstream(to, u->id) == NULL) {
-            say_upstream(d, sign, from, u);
+            emit_upstream(d, sign, from, u);
         }
     }
 }
@@ -100,33 +100,34 @@
 
     snprintf(subject, sizeof(subject), "service %s", a->name);
     diff_fields(d, subject, service_fields, n_service_fields, a, b);
-    say_missing(d, '-', a, b);
+    emit_missing(d, '-', a, b);
     for (uint32_t i = 0; i < a->n_upstreams; i++) {
         const conf_upstream_t *u = conf_upstream(b, a->upstreams[i].id);
         if (u != NULL) {
             diff_upstream(d, a, &a->upstreams[i], u);
         }
     }
-    say_missing(d, '+', b, a);
+    emit_missing(d, '+', b, a);
 }
 
 static void
-say_service(diff_t *d, char sign, const conf_service_t *s)
+emit_service(diff_t *d, char sign, const conf_service_t *s)
 {
     char addr[ADDR_STRLEN];
 
-    say(d, "%c service %s: %s", sign, s->name, addr_text(&s->addr, addr));
-    say_missing(d, sign, s, NULL);
+    emit_line(d, "%c service %s: %s", sign, s->name,
+              addr_text(&s->addr, addr));
+    emit_missing(d, sign, s, NULL);
 }
 
 static void
 diff_site(diff_t *d, const conf_t *a, const conf_t *b)
 {
     if (strcmp(a->site, b->site) != 0) {
-        say(d, "~ site name: %s -> %s", a->site, b->site);
+        emit_line(d, "~ site name: %s -> %s", a->site, b->site);
     }
     if (a->drain_ms != b->drain_ms) {
-        say(d, "~ site drain_ms: %u -> %u", a->drain_ms, b->drain_ms);
+        emit_line(d, "~ site drain_ms: %u -> %u", a->drain_ms, b->drain_ms);
     }
 }
 
@@ -145,7 +146,7 @@
     for (uint32_t i = 0; i < a->n_services; i++) {
         const conf_service_t *s = conf_service(b, a->services[i].name);
         if (s == NULL) {
-            say_service(&d, '-', &a->services[i]);
+            emit_service(&d, '-', &a->services[i]);
         }
         else {
             diff_service(&d, &a->services[i], s);
@@ -153,7 +154,7 @@
     }
     for (uint32_t i = 0; i < b->n_services; i++) {
         if (conf_service(a, b->services[i].name) == NULL) {
-            say_service(&d, '+', &b->services[i]);
+            emit_service(&d, '+', &b->services[i]);
         }
     }
     return d.n;
@@ -162,8 +163,8 @@
 /* ---- Steps ---- */
 
 static int
-fail_passes(err_t *e, const char *what, const addr_t *a, const char *from,
-            const char *to)
+fail_address_moved(err_t *e, const char *what, const addr_t *a,
+                   const char *from, const char *to)
 {
     char addr[ADDR_STRLEN];
 
@@ -176,85 +177,85 @@
 /* The version in force, by address. */
 typedef struct {
     const conf_t *conf;
-    places_t services, upstreams;
-} old_t;
+    addr_index_t services, upstreams;
+} old_index_t;
 
 static void
-old_close(old_t *o)
+old_index_close(old_index_t *o)
 {
-    places_close(&o->services);
-    places_close(&o->upstreams);
+    addr_index_close(&o->services);
+    addr_index_close(&o->upstreams);
 }
 
 static int
-old_open(old_t *o, const conf_t *conf)
+old_index_open(old_index_t *o, const conf_t *conf)
 {
     size_t n = 0;
 
-    *o = (old_t){.conf = conf};
+    *o = (old_index_t){.conf = conf};
     for (uint32_t i = 0; i < conf->n_services; i++) {
         n += conf->services[i].n_upstreams;
     }
-    if (places_open(&o->services, conf->n_services) < 0 ||
-        places_open(&o->upstreams, n) < 0) {
-        old_close(o);
+    if (addr_index_open(&o->services, conf->n_services) < 0 ||
+        addr_index_open(&o->upstreams, n) < 0) {
+        old_index_close(o);
         return -ENOMEM;
     }
     for (uint32_t i = 0; i < conf->n_services; i++) {
         const conf_service_t *s = &conf->services[i];
-        places_add(&o->services, addr_id(&s->addr), i);
+        addr_index_add(&o->services, addr_id(&s->addr), i);
         for (uint32_t j = 0; j < s->n_upstreams; j++) {
-            places_add(&o->upstreams, s->upstreams[j].id, i);
+            addr_index_add(&o->upstreams, s->upstreams[j].id, i);
         }
     }
-    places_sort(&o->services);
-    places_sort(&o->upstreams);
+    addr_index_sort(&o->services);
+    addr_index_sort(&o->upstreams);
     return 0;
 }
 
 /* The name of the service that had the address in P, or NULL. */
 static const char *
-owner(const old_t *o, const places_t *p, uint64_t id)
+service_at(const old_index_t *o, const addr_index_t *p, uint64_t id)
 {
-    int i = places_find(p, id);
+    int i = addr_index_find(p, id);
 
     return i >= 0 ? o->conf->services[i].name : NULL;
 }
 
 static int
-check_upstream_step(const old_t *old, const conf_service_t *s,
+check_upstream_step(const old_index_t *old, const conf_service_t *s,
                     const conf_upstream_t *u, err_t *e)
 {
-    const char *was = owner(old, &old->services, u->id);
+    const char *old_service = service_at(old, &old->services, u->id);
 
-    if (was == NULL) {
-        was = owner(old, &old->upstreams, u->id);
-        if (was == NULL || strcmp(was, s->name) == 0) {
+    if (old_service == NULL) {
+        old_service = service_at(old, &old->upstreams, u->id);
+        if (old_service == NULL || strcmp(old_service, s->name) == 0) {
             return 0;
         }
     }
-    return fail_passes(e, "upstream", &u->addr, was, s->name);
+    return fail_address_moved(e, "upstream", &u->addr, old_service, s->name);
 }
 
 /* A service's address is how flows and upstreams know the service, so it is
  * held to the same rule as an upstream's. */
 static int
-check_address_step(const old_t *old, const conf_service_t *s, err_t *e)
+check_address_step(const old_index_t *old, const conf_service_t *s, err_t *e)
 {
     uint64_t id = addr_id(&s->addr);
-    const char *was = owner(old, &old->services, id);
+    const char *old_service = service_at(old, &old->services, id);
 
-    if (was == NULL || strcmp(was, s->name) == 0) {
-        was = owner(old, &old->upstreams, id);
-        if (was == NULL) {
+    if (old_service == NULL || strcmp(old_service, s->name) == 0) {
+        old_service = service_at(old, &old->upstreams, id);
+        if (old_service == NULL) {
             return 0;
         }
     }
-    return fail_passes(e, "address", &s->addr, was, s->name);
+    return fail_address_moved(e, "address", &s->addr, old_service, s->name);
 }
 
 static int
-check_service_step(const old_t *old, const conf_service_t *s, err_t *e)
+check_service_step(const old_index_t *old, const conf_service_t *s, err_t *e)
 {
     int rc = check_address_step(old, s, e);
 
@@ -267,7 +268,7 @@
 int
 conf_step_check(const conf_t *old, const conf_t *new_, err_t *e)
 {
-    old_t places;
+    old_index_t index;
     int rc = 0;
 
     if (old == NULL) {
@@ -279,13 +280,13 @@
                        "expected the same site",
                        old->site, new_->site);
     }
-    if (old_open(&places, old) < 0) {
+    if (old_index_open(&index, old) < 0) {
         return err_set(e, -ENOMEM, "step check", "configuration",
                        "Out of memory.");
     }
     for (uint32_t i = 0; rc == 0 && i < new_->n_services; i++) {
-        rc = check_service_step(&places, &new_->services[i], e);
+        rc = check_service_step(&index, &new_->services[i], e);
     }
-    old_close(&places);
+    old_index_close(&index);
     return rc;
 }
--- a/conf/edit.c
+++ b/conf/edit.c
@@ -59,7 +59,7 @@
 }
 
 static char *
-edit(const char *text, const toml_node_t *upstream, bool draining)
+edit_text(const char *text, const toml_node_t *upstream, bool draining)
 {
     const toml_node_t *old = toml_get(upstream, "draining");
     int line = toml_line(toml_get(upstream, "address"));
@@ -81,7 +81,7 @@
 
 /* An inline table, or two keys on a line, end as something else. */
 static bool
-is_as_wanted(const char *text, const addr_t *a, bool draining)
+draining_is_set_to(const char *text, const addr_t *a, bool draining)
 {
     toml_doc_t *doc = toml_doc_parse("-", text, NULL);
     const toml_node_t *n = NULL;
@@ -115,10 +115,10 @@
         err_set(e, -ENOENT, STEP, addr, "no such upstream here");
     }
     else {
-        out = edit(text, upstream, draining);
+        out = edit_text(text, upstream, draining);
     }
     toml_doc_free(doc);
-    if (out != NULL && !is_as_wanted(out, a, draining)) {
+    if (out != NULL && !draining_is_set_to(out, a, draining)) {
         free(out);
         out = NULL;
         err_set(e, -EINVAL, STEP, addr,
--- a/conf/fields.c
+++ b/conf/fields.c
@@ -27,7 +27,7 @@
 }
 
 static void *
-member_of(const field_t *f, void *struct_)
+member_ptr(const field_t *f, void *struct_)
 {
     return (char *)struct_ + f->offset;
 }
@@ -44,7 +44,7 @@
 }
 
 static void
-join(char *buf, size_t cap, const char *word)
+append_word(char *buf, size_t cap, const char *word)
 {
     size_t n = strlen(buf);
 
@@ -52,7 +52,7 @@
 }
 
 static void
-expected_number(const field_t *f, const char *noun, char *buf, size_t cap)
+expected_number_text(const field_t *f, const char *noun, char *buf, size_t cap)
 {
     const char *unit = f->number.unit;
 
@@ -63,17 +63,17 @@
 
 /* "a whole number of milliseconds from 1 to 60000" and the like. */
 static void
-expected(const field_t *f, char *buf, size_t cap)
+expected_text(const field_t *f, char *buf, size_t cap)
 {
     char names[96] = "";
 
     switch (f->kind) {
     case FIELD_U16:
     case FIELD_U32:
-        expected_number(f, "a whole number", buf, cap);
+        expected_number_text(f, "a whole number", buf, cap);
         return;
     case FIELD_REAL:
-        expected_number(f, "a number", buf, cap);
+        expected_number_text(f, "a number", buf, cap);
         return;
     case FIELD_BOOL:
         snprintf(buf, cap, "true or false");
@@ -90,7 +90,7 @@
         return;
     case FIELD_CHOICE:
         for (int i = 0; f->choice.names[i] != NULL; i++) {
-            join(names, sizeof(names), f->choice.names[i]);
+            append_word(names, sizeof(names), f->choice.names[i]);
         }
         snprintf(buf, cap, "one of %s", names);
         return;
@@ -204,7 +204,7 @@
 
 /* The offending value as the operator wrote it. */
 static void
-given(const toml_node_t *n, char *buf, size_t cap)
+value_text(const toml_node_t *n, char *buf, size_t cap)
 {
     switch (toml_kind(n)) {
     case TOML_STRING:
@@ -232,29 +232,29 @@
            void *into)
 {
     const toml_node_t *n = toml_get(table, f->key);
-    char is[64], wanted[128];
+    char value[64], wanted[128];
 
     if (n == NULL && !f->required) {
         return 0;
     }
-    expected(f, wanted, sizeof(wanted));
+    expected_text(f, wanted, sizeof(wanted));
     if (n == NULL) {
         return toml_fail(o->e, o->file, toml_line(table),
                          "%s is missing; expected %s", f->key, wanted);
     }
-    if (read_value(f, n, member_of(f, into)) == 0) {
+    if (read_value(f, n, member_ptr(f, into)) == 0) {
         return 0;
     }
-    given(n, is, sizeof(is));
+    value_text(n, value, sizeof(value));
     return toml_fail(o->e, o->file, toml_line(n), "%s is %s; expected %s",
-                     f->key, is, wanted);
+                     f->key, value, wanted);
 }
 
 static bool
 is_known(const char *key, const field_set_t *sets, size_t n,
-         const char *const *also)
+         const char *const *other_keys)
 {
-    if (also != NULL && choice_index(also, key) >= 0) {
+    if (other_keys != NULL && choice_index(other_keys, key) >= 0) {
         return true;
     }
     for (size_t s = 0; s < n; s++) {
@@ -268,18 +268,19 @@
 }
 
 static int
-fail_unknown(const origin_t *o, const toml_node_t *table, size_t key,
-             const field_set_t *sets, size_t n, const char *const *also)
+fail_unknown_key(const origin_t *o, const toml_node_t *table, size_t key,
+                 const field_set_t *sets, size_t n,
+                 const char *const *other_keys)
 {
     char known[200] = "";
 
     for (size_t s = 0; s < n; s++) {
         for (size_t i = 0; i < sets[s].n; i++) {
-            join(known, sizeof(known), sets[s].fields[i].key);
+            append_word(known, sizeof(known), sets[s].fields[i].key);
         }
     }
-    for (size_t i = 0; also != NULL && also[i] != NULL; i++) {
-        join(known, sizeof(known), also[i]);
+    for (size_t i = 0; other_keys != NULL && other_keys[i] != NULL; i++) {
+        append_word(known, sizeof(known), other_keys[i]);
     }
     return toml_fail(o->e, o->file, toml_key_line(table, key),
                      "unknown key \"%.24s\"; expected %s",
@@ -288,7 +289,7 @@
 
 int
 fields_read(const origin_t *o, const toml_node_t *table,
-            const field_set_t *sets, size_t n, const char *const *also)
+            const field_set_t *sets, size_t n, const char *const *other_keys)
 {
     if (toml_kind(table) != TOML_TABLE) {
         return toml_fail(o->e, o->file, toml_line(table),
@@ -296,8 +297,8 @@
                          toml_kind_text(table));
     }
     for (size_t i = 0; i < toml_size(table); i++) {
-        if (!is_known(toml_key(table, i), sets, n, also)) {
-            return fail_unknown(o, table, i, sets, n, also);
+        if (!is_known(toml_key(table, i), sets, n, other_keys)) {
+            return fail_unknown_key(o, table, i, sets, n, other_keys);
         }
     }
     for (size_t s = 0; s < n; s++) {
--- a/conf/fields.h
+++ b/conf/fields.h
@@ -108,9 +108,10 @@
 } origin_t;
 
 /* Reads TABLE into the structs of SETS.  Keys of no set are errors, but for
- * those in ALSO (NULL at its end; may be NULL).  0 or -EINVAL. */
+ * those in OTHER_KEYS (NULL at its end; may be NULL).  0 or -EINVAL. */
 int fields_read(const origin_t *o, const toml_node_t *table,
-                const field_set_t *sets, size_t n, const char *const *also);
+                const field_set_t *sets, size_t n,
+                const char *const *other_keys);
 
 /* Writes the value of F in STRUCT_ as an operator would write it. */
 void field_text(const field_t *f, const void *struct_, char *buf, size_t cap);
--- a/conf/settings.c
+++ b/conf/settings.c
@@ -58,7 +58,8 @@
 /* Two sockets can't share an address; one that did would also take the
  * other's datagrams for its own. */
 static int
-check_apart(const settings_t *s, const origin_t *o, const toml_node_t *root)
+check_addrs_differ(const settings_t *s, const origin_t *o,
+                   const toml_node_t *root)
 {
     const struct {
         const char *key;
@@ -102,7 +103,7 @@
         return fail_key(o, root, "peer_key",
                         "doesn't fit; expected 64 hexadecimal digits");
     }
-    return check_apart(s, o, root);
+    return check_addrs_differ(s, o, root);
 }
 
 static int
@@ -161,15 +162,15 @@
 int
 settings_read(settings_t *s, const char *file, err_t *e)
 {
-    err_t why = {0};
-    char *text = conf_read_file(file, &why);
+    err_t err = {0};
+    char *text = conf_read_file(file, &err);
     int rc;
 
     if (text == NULL) {
         if (e != NULL) {
-            *e = why;
+            *e = err;
         }
-        return why.code;
+        return err.code;
     }
     rc = settings_parse(s, file, text, e);
     free(text);
--- a/conf/toml.cc
+++ b/conf/toml.cc
@@ -24,7 +24,7 @@
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
-#define DOTS_MAX 32 // on one line, outside comments
+#define KEY_DOTS_MAX 32 // on one line, outside comments
 
 // A node keeps C strings and children, so that no toml++ type gets out.
 struct toml_node {
@@ -95,7 +95,7 @@
 // is a table in a table, and its parser and destructor go down with them until
 // the stack is gone.  A key stands on one line, so its dots can be counted.
 static int
-too_deep_line(const char *text)
+find_deep_key_line(const char *text)
 {
     int line = 1, dots = 0;
     bool start = true, comment = false;
@@ -111,7 +111,7 @@
         comment = comment || (start && *p == '#');
         start = start && (*p == ' ' || *p == '\t');
         dots += *p == '.' && !comment;
-        if (dots > DOTS_MAX) {
+        if (dots > KEY_DOTS_MAX) {
             return line;
         }
     }
@@ -121,11 +121,11 @@
 toml_doc_t *
 toml_doc_parse(const char *file, const char *text, err_t *e)
 {
-    int deep = too_deep_line(text);
+    int deep = find_deep_key_line(text);
 
     if (deep > 0) {
         toml_fail(e, file, deep, "%d dots and more; expected fewer on a line",
-                  DOTS_MAX);
+                  KEY_DOTS_MAX);
         return nullptr;
     }
     try {
@@ -133,12 +133,12 @@
         auto d = std::make_unique<toml_doc>();
         node_fill(&d->root, t);
         return d.release();
-    } catch (const toml::parse_error &why) {
-        std::string says(why.description());
-        toml_fail(e, file, (int)why.source().begin.line, "not valid TOML: %s",
-                  says.c_str());
-    } catch (const std::exception &why) {
-        toml_fail(e, file, 1, "not valid TOML: %s", why.what());
+    } catch (const toml::parse_error &error) {
+        std::string description(error.description());
+        toml_fail(e, file, (int)error.source().begin.line,
+                  "not valid TOML: %s", description.c_str());
+    } catch (const std::exception &error) {
+        toml_fail(e, file, 1, "not valid TOML: %s", error.what());
     }
     return nullptr;
 }
@@ -251,7 +251,7 @@
 int
 toml_fail(err_t *e, const char *file, int line, const char *fmt, ...)
 {
-    char place[sizeof(e->peer)];
+    char location[sizeof(e->peer)];
     char text[sizeof(e->text)];
     char number[16];
     va_list ap;
@@ -261,11 +261,11 @@
     va_end(ap);
     // Of a long path the end is kept: it names the file.
     size_t tail = (size_t)snprintf(number, sizeof(number), ":%d", line);
-    size_t room = sizeof(place) - 1 - tail;
+    size_t room = sizeof(location) - 1 - tail;
     size_t len = strlen(file);
     if (len > room) {
         file += len - room;
     }
-    snprintf(place, sizeof(place), "%s%s", file, number);
-    return err_set(e, -EINVAL, "check", place, "%s", text);
+    snprintf(location, sizeof(location), "%s%s", file, number);
+    return err_set(e, -EINVAL, "check", location, "%s", text);
 }
--- a/test/conf_test.cc
+++ b/test/conf_test.cc
@@ -89,7 +89,7 @@
 
 typedef std::vector<std::string> lines_t;
 
-TEST(Conf, BaseAndOverlaysBecomeOneModel)
+TEST(Conf, MergesBaseAndOverlays)
 {
     err_t e = {};
     conf_ptr c = parse({base, brno, olomouc}, &e);
@@ -115,15 +115,15 @@
     EXPECT_EQ(nullptr, conf_upstream(s, 1));
 }
 
-struct bad_t {
+struct invalid_edit_t {
     const char *file; // which text is edited
     std::string from, to;
-    const char *where, *says;
+    const char *location, *error;
 };
 
-TEST(Conf, EachFaultIsToldWithItsPlace)
+TEST(Conf, ReportsEachErrorWithFileAndLine)
 {
-    const bad_t bads[] = {
+    const invalid_edit_t edits[] = {
         {"base", "slots = 2", "slotz = 2", "base.toml:8", "\"slotz\""},
         {"base", "slots = 2", "slots = \"2\"", "base.toml:8", "from 1 to"},
         {"base", "slots = 2", "slots = 2.5", "base.toml:8", "whole number"},
@@ -167,7 +167,7 @@
         {"b", "draining = true", "draining = 1", "b.toml:10", "true or"},
         {"b", "service.dohled", "service.nic", "b.toml:3", "base"},
     };
-    for (const bad_t &bad : bads) {
+    for (const invalid_edit_t &bad : edits) {
         std::string b = base, a = brno, o = olomouc;
         std::string *text = *bad.file == 'a' ? &a : &o;
         text = strcmp(bad.file, "base") == 0 ? &b : text;
@@ -175,13 +175,13 @@
         err_t e = {};
         EXPECT_FALSE(parse({b, a, o}, &e)) << bad.to;
         EXPECT_EQ(-EINVAL, e.code);
-        EXPECT_EQ(0, strncmp(bad.where, e.peer, strlen(bad.where)))
+        EXPECT_EQ(0, strncmp(bad.location, e.peer, strlen(bad.location)))
             << bad.to << " at " << e.peer << ": " << e.text;
-        EXPECT_TRUE(strstr(e.text, bad.says)) << bad.to << ": " << e.text;
+        EXPECT_TRUE(strstr(e.text, bad.error)) << bad.to << ": " << e.text;
     }
 }
 
-TEST(Conf, DataCentreWithoutUpstreamsIsRefused)
+TEST(Conf, RejectsDataCentreWithoutUpstreams)
 {
     err_t e = {};
     EXPECT_FALSE(parse({base, brno, "data_centre = \"x\"\n"}, &e));
@@ -193,7 +193,7 @@
     EXPECT_TRUE(strstr(e.text, "bytes")) << e.text;
 }
 
-TEST(Conf, DiffNamesEachChange)
+TEST(Conf, DiffListsEachChange)
 {
     conf_ptr a = parse({base, brno, olomouc});
     conf_ptr b = parse({edit(base, "slots = 2", "slots = 2\nqueue = 9"), brno,
@@ -214,7 +214,7 @@
 // An operator moves a server from the archive to monitoring.  An instance
 // that still has the old version would send it archive uploads; so the
 // address has to be absent for a version.
-TEST(Conf, UpstreamPassesOnlyThroughAVersionWithoutIt)
+TEST(Conf, RejectsUpstreamMovedToAnotherServiceInOneStep)
 {
     std::string more = brno + "[[upstream]]\nservice = \"archiv\"\n"
                               "address = \"127.2.1.3:5683\"\n";
@@ -231,7 +231,7 @@
 }
 
 // Two services swap addresses: callers of the one would reach the other.
-TEST(Conf, ServiceAddressPassesOnlyThroughAVersionWithoutIt)
+TEST(Conf, RejectsServiceAddressMovedInOneStep)
 {
     std::string swapped = edit(base, "127.1.0.1", "127.1.0.9");
     swapped = edit(swapped, "127.1.0.2", "127.1.0.1");
@@ -243,7 +243,7 @@
 
 // What was an upstream becomes a service's own address: an instance with the
 // old version sends it datagrams that arrive as a caller's.
-TEST(Conf, UpstreamsAddressBecomesNoServicesInOneStep)
+TEST(Conf, RejectsUpstreamAddressReusedForServiceInOneStep)
 {
     conf_ptr a = parse({base, brno});
     std::string over = edit(brno, "127.2.1.2", "127.2.1.3");
@@ -284,7 +284,7 @@
     return text;
 }
 
-RC_GTEST_PROP(Conf, DrainingChangesOneUpstreamOnly, ())
+RC_GTEST_PROP(Conf, SetDrainingChangesOneUpstreamOnly, ())
 {
     std::string over = "data_centre = \"brno-sal-a\"\n";
     int n = *rc::gen::inRange(1, 5), at = *rc::gen::inRange(0, n);
@@ -309,7 +309,7 @@
     RC_ASSERT(conf_upstream(s, addr_id(&a))->draining == !was);
 }
 
-TEST(Conf, DrainingIsEditedInItsOverlay)
+TEST(Conf, SetDrainingEditsOverlayText)
 {
     addr_t archiv, far, other;
     addr_parse(&archiv, "127.2.1.2:5683");
@@ -337,7 +337,7 @@
     EXPECT_EQ(-EINVAL, e.code);
 }
 
-TEST(Conf, HashTellsTextsApart)
+TEST(Conf, HashDependsOnTextsAndOrder)
 {
     conf_source_t ab[] = {{"x", "a"}, {"y", "b"}};
     conf_source_t ba[] = {{"x", "b"}, {"y", "a"}};
@@ -351,7 +351,7 @@
 
 // Each dot of a key opens a table in the one before, each bracket an array:
 // a reader that goes down with them runs out of stack.
-TEST(Conf, DeepNestingIsRefused)
+TEST(Conf, RejectsDeepNesting)
 {
     for (std::string piece : {"a.", "\"#\".", "a=[", "[", "a={", "[["}) {
         std::string deep = "x = 1\n";
@@ -364,7 +364,7 @@
     }
 }
 
-RC_GTEST_PROP(Conf, NoTextBreaksTheReader, (std::string b, std::string o))
+RC_GTEST_PROP(Conf, ParserHandlesArbitraryText, (std::string b, std::string o))
 {
     err_t e = {};
     conf_ptr c = parse({b.c_str(), o.c_str()}, &e);
@@ -373,7 +373,7 @@
 
 // Valid texts with a few bytes changed reach further into the reader than
 // made-up ones.  What is accepted equals its copy.
-RC_GTEST_PROP(Conf, NoChangedByteBreaksTheReader, ())
+RC_GTEST_PROP(Conf, ParserHandlesCorruptedText, ())
 {
     std::string texts[] = {base, brno, olomouc};
     int changes = *rc::gen::inRange(0, 4);
@@ -413,7 +413,7 @@
 bulk_addr = "127.0.1.2:6003"
 )";
 
-TEST(Settings, AreRead)
+TEST(Settings, ParsesFile)
 {
     settings_t s;
     err_t e = {};
@@ -427,9 +427,9 @@
     EXPECT_EQ(-ENOENT, settings_read(&s, "/nonexistent", &e));
 }
 
-TEST(Settings, FaultsAreToldWithTheirPlace)
+TEST(Settings, ReportsEachErrorWithFileAndLine)
 {
-    const bad_t bads[] = {
+    const invalid_edit_t edits[] = {
         {"", "127.0.1.1:6001", "127.0.1.1:6000", "i.toml:5", "differ"},
         {"", "\"127.0.1.1\"", "\"here\"", "i.toml:3", "IP address"},
         {"", "http:", "https:", "i.toml:8", "expected it as"},
@@ -438,13 +438,13 @@
         {"", "[[peer]]", "[peer]", "i.toml:11", "[[peer]]"},
         {"", "127.0.1.1:6003", "127.0.0.1:6004", "i.toml:7", "admin_addr"},
     };
-    for (const bad_t &bad : bads) {
+    for (const invalid_edit_t &bad : edits) {
         settings_t s;
         err_t e = {};
         std::string text = edit(settings, bad.from, bad.to);
         EXPECT_EQ(-EINVAL, settings_parse(&s, "i.toml", text.c_str(), &e));
-        EXPECT_STREQ(bad.where, e.peer) << e.text;
-        EXPECT_TRUE(strstr(e.text, bad.says)) << e.text;
+        EXPECT_STREQ(bad.location, e.peer) << e.text;
+        EXPECT_TRUE(strstr(e.text, bad.error)) << e.text;
     }
 }
 
@@ -458,7 +458,7 @@
 link_mbps = 2.5
 )";
 
-TEST(TaggedSettings, TakeTheLinkAsAFractionOrAWholeNumber)
+TEST(TaggedSettings, LinkMbpsAcceptsIntegerOrFraction)
 {
     tagged_settings_t s;
     err_t e = {};
@@ -475,7 +475,7 @@
 
 /* Guards against: an instance that doesn't start because the platform's own
  * bound is short or a fraction. */
-TEST(TaggedSettings, TellHowSoonAChangeIsDue)
+TEST(TaggedSettings, ParsesApplyAndDrainTimes)
 {
     tagged_settings_t s;
     err_t e = {};
@@ -500,17 +500,17 @@
     }
 }
 
-TEST(TaggedSettings, TellTheBoundOfAnUpstreamThatWarmsUp)
+TEST(TaggedSettings, ParsesWarmUpLimits)
 {
     tagged_settings_t s;
     err_t e = {};
-    std::string told = tagged + "warm_up_over = 1.5\nwarm_up_slack = 5\n";
+    std::string given = tagged + "warm_up_over = 1.5\nwarm_up_slack = 5\n";
     std::string less = tagged + "warm_up_over = -1\n";
 
     ASSERT_EQ(0, tagged_settings_parse(&s, "i.toml", tagged.c_str(), &e));
     EXPECT_EQ(1, s.warm_up_over);
     EXPECT_EQ(0, s.warm_up_slack);
-    ASSERT_EQ(0, tagged_settings_parse(&s, "i.toml", told.c_str(), &e));
+    ASSERT_EQ(0, tagged_settings_parse(&s, "i.toml", given.c_str(), &e));
     EXPECT_EQ(1.5, s.warm_up_over);
     EXPECT_EQ(5, s.warm_up_slack);
     EXPECT_EQ(-EINVAL, tagged_settings_parse(&s, "i.toml", less.c_str(), &e));
@@ -518,7 +518,7 @@
         << e.text;
 }
 
-TEST(TaggedSettings, ABadLinkIsToldWithItsPlace)
+TEST(TaggedSettings, ReportsInvalidLinkMbpsWithLine)
 {
     for (const char *bad : {"-1", "1e9", "nan", "\"2\"", "true"}) {
         tagged_settings_t s;
