--- a/conf/addr_index.c
+++ b/conf/addr_index.c
@@ -1,5 +1,5 @@
-/* A sorted array: a scan of all services for each upstream took 10 s of CPU
- * at 120,000 upstreams. */
+/* A sorted array with binary search: a linear scan of all services for each
+ * upstream took 10 s of CPU at 120,000 upstreams. */
 #include "conf/addr_index.h"
 
 #include <errno.h>
--- a/conf/addr_index.h
+++ b/conf/addr_index.h
@@ -1,5 +1,5 @@
-/* addr_index: which service has an address, for many addresses at once.
- * Private to conf/. */
+/* addr_index: finds the service of an address in a sorted array.  Private to
+ * conf/. */
 #ifndef SISKIN_ADDR_INDEX_H
 #define SISKIN_ADDR_INDEX_H
 
@@ -15,13 +15,13 @@
     size_t n;
 } addr_index_t;
 
-/* Room for CAP places; -ENOMEM. */
+/* Allocates room for CAP entries.  0 or -ENOMEM. */
 int addr_index_open(addr_index_t *p, size_t cap);
 void addr_index_close(addr_index_t *p);
-/* Within the room, and before addr_index_sort(). */
+/* At most CAP times, before addr_index_sort(). */
 void addr_index_add(addr_index_t *p, uint64_t id, uint32_t service);
 void addr_index_sort(addr_index_t *p);
-/* The index of the service, or -1. */
+/* The service of the address, or -1.  Requires a sorted index. */
 int addr_index_find(const addr_index_t *p, uint64_t id);
 
 #endif
--- a/conf/check.c
+++ b/conf/check.c
@@ -1,4 +1,4 @@
-/* The rules between tables: what no single value can show. */
+/* Checks of rules that involve more than one table or value. */
 #include "conf/model.h"
 #include "conf/addr_index.h"
 #include "wire/wire.h"
@@ -39,15 +39,15 @@
 
     if (s->s.feed_silent_ms >= s->s.flow_idle_ms) {
         return toml_fail(e, d->base_file, s->line,
-                         "service %s forgets a flow (flow_idle_ms %u) before "
-                         "it probes a silent feed; expected feed_silent_ms "
-                         "below it",
+                         "service %s drops an idle flow (flow_idle_ms %u) "
+                         "before it probes a silent feed; expected "
+                         "feed_silent_ms below flow_idle_ms",
                          s->s.name, s->s.flow_idle_ms);
     }
     return 0;
 }
 
-/* Equal addresses are neighbours. */
+/* The index is sorted, so equal addresses are adjacent. */
 static int
 check_service_addresses(const draft_t *d, const addr_index_t *services,
                         err_t *e)
@@ -79,8 +79,9 @@
 
     if (s->urgent_slots >= u->u.slots) {
         return toml_fail(e, u->file, u->line,
-                         "upstream %s has slots %u and %s keeps urgent_slots "
-                         "%u from uploads; expected at least one more",
+                         "upstream %s has slots %u, but service %s keeps "
+                         "urgent_slots %u free of uploads; expected "
+                         "more slots",
                          addr_text(&u->u.addr, addr), u->u.slots, s->name,
                          s->urgent_slots);
     }
@@ -88,14 +89,14 @@
     if (other >= 0) {
         return toml_fail(e, u->file, u->line,
                          "upstream %s is the address of service %s; "
-                         "expected another",
+                         "expected a different address",
                          addr_text(&u->u.addr, addr),
                          d->services[other].s.name);
     }
     return 0;
 }
 
-/* The upstreams are sorted by id: equal ones are neighbours. */
+/* The upstreams are sorted by id, so duplicates are adjacent. */
 static int
 check_duplicate_upstreams(const draft_t *d, err_t *e)
 {
--- a/conf/conf.c
+++ b/conf/conf.c
@@ -1,4 +1,4 @@
-/* The checked configuration: life, lookup, hash. */
+/* The checked configuration: copy, free, lookup, hash.  Reading of files. */
 #include "conf/conf.h"
 
 #include <errno.h>
@@ -78,7 +78,7 @@
 conf_service(const conf_t *c, const char *name)
 {
     if (c->n_services == 0) {
-        return NULL; /* bsearch() takes no NULL */
+        return NULL; /* bsearch() must not get a NULL array */
     }
     return bsearch(name, c->services, c->n_services, sizeof(*c->services),
                    by_name);
@@ -136,7 +136,7 @@
     }
     else if (strlen(text) != n) {
         err_set(e, -EINVAL, "read", file,
-                "holds a NUL byte; expected TOML text");
+                "contains a NUL byte; expected TOML text");
     }
     else {
         return text;
--- a/conf/diff.c
+++ b/conf/diff.c
@@ -1,4 +1,4 @@
-/* What differs between two versions, and whether one may follow the other. */
+/* Differences between two versions, and the check of a step between them. */
 #include "conf/model.h"
 #include "conf/addr_index.h"
 #include "wire/wire.h"
@@ -80,7 +80,7 @@
     }
 }
 
-/* Those of FROM that TO lacks; TO may be NULL. */
+/* The upstreams of FROM that are not in TO; TO may be NULL. */
 static void
 emit_missing(diff_t *d, char sign, const conf_service_t *from,
              const conf_service_t *to)
@@ -160,7 +160,7 @@
     return d.n;
 }
 
-/* ---- Steps ---- */
+/* ---- Step from one version to the next ---- */
 
 static int
 fail_address_moved(err_t *e, const char *what, const addr_t *a,
@@ -174,7 +174,7 @@
                    what, addr_text(a, addr), from, to);
 }
 
-/* The version in force, by address. */
+/* The version in force, indexed by address. */
 typedef struct {
     const conf_t *conf;
     addr_index_t services, upstreams;
@@ -213,7 +213,7 @@
     return 0;
 }
 
-/* The name of the service that had the address in P, or NULL. */
+/* The name of the service of the address in P, or NULL. */
 static const char *
 service_at(const old_index_t *o, const addr_index_t *p, uint64_t id)
 {
@@ -237,8 +237,8 @@
     return fail_address_moved(e, "upstream", &u->addr, old_service, s->name);
 }
 
-/* A service's address is how flows and upstreams know the service, so it is
- * held to the same rule as an upstream's. */
+/* Flows and upstreams identify a service by its address, so the rule for
+ * upstreams' addresses applies to it too. */
 static int
 check_address_step(const old_index_t *old, const conf_service_t *s, err_t *e)
 {
@@ -276,7 +276,7 @@
     }
     if (strcmp(old->site, new_->site) != 0) {
         return err_set(e, -EINVAL, "step check", "configuration",
-                       "site %s is in force and the files are of site %s; "
+                       "site %s is in force, but the files are for site %s; "
                        "expected the same site",
                        old->site, new_->site);
     }
--- a/conf/edit.c
+++ b/conf/edit.c
@@ -1,4 +1,4 @@
-/* One edit of an overlay's text, which keeps the operators' own lines and
+/* Sets "draining" in an overlay's text and keeps all other lines and
  * comments. */
 #include "conf/conf.h"
 #include "conf/toml.h"
@@ -73,13 +73,14 @@
         from = line_start(text, line + 1);
         to = from;
     }
-    if (from == NULL) { /* behind the last line */
+    if (from == NULL) { /* the text ends with this line */
         from = text + strlen(text);
     }
     return splice(text, from, to != NULL ? to : "", draining);
 }
 
-/* An inline table, or two keys on a line, end as something else. */
+/* Checks the edited text: the edit goes wrong on an inline table or two keys
+ * on one line. */
 static bool
 draining_is_set_to(const char *text, const addr_t *a, bool draining)
 {
@@ -112,7 +113,7 @@
     addr_text(a, addr);
     upstream = find_upstream(toml_doc_root(doc), a);
     if (upstream == NULL) {
-        err_set(e, -ENOENT, STEP, addr, "no such upstream here");
+        err_set(e, -ENOENT, STEP, addr, "no such upstream in this overlay");
     }
     else {
         out = edit_text(text, upstream, draining);
--- a/conf/fields.c
+++ b/conf/fields.c
@@ -1,4 +1,4 @@
-/* Reading and printing of described fields. */
+/* Reads and formats fields by their descriptions. */
 #include "conf/fields.h"
 #include "conf/conf.h"
 
@@ -133,7 +133,7 @@
     default:
         return -EINVAL;
     }
-    if (!(v >= f->number.min && v <= f->number.max)) { /* also not a number */
+    if (!(v >= f->number.min && v <= f->number.max)) { /* rejects NaN too */
         return -EINVAL;
     }
     *to = v;
@@ -202,7 +202,7 @@
     return -EINVAL;
 }
 
-/* The offending value as the operator wrote it. */
+/* Formats an invalid value as in the file. */
 static void
 value_text(const toml_node_t *n, char *buf, size_t cap)
 {
--- a/conf/fields.h
+++ b/conf/fields.h
@@ -1,6 +1,6 @@
-/* fields: what keys a TOML table may hold, as data.  One description serves
- * to read a table into a struct, to name what was expected, and to compare
- * two structs.  Private to conf/.
+/* fields: descriptions of the keys of a TOML table.  They are used to read a
+ * table into a struct, to print expected values in errors, and to compare two
+ * structs.  Private to conf/.
  */
 #ifndef SISKIN_FIELDS_H
 #define SISKIN_FIELDS_H
@@ -10,7 +10,7 @@
 typedef enum {
     FIELD_U16,
     FIELD_U32,
-    FIELD_REAL, /* double, or a whole number */
+    FIELD_REAL, /* double; accepts whole numbers too */
     FIELD_BOOL,
     FIELD_NAME,  /* char[NAME_LEN]: lower-case letters, digits and '-' */
     FIELD_TEXT,  /* char[text.cap] */
@@ -37,7 +37,7 @@
     };
 } field_t;
 
-/* Descriptions of a member: KEY in the file, member M of struct S. */
+/* Initialisers of a field_t: KEY in the file, member M of struct S. */
 #define FIELD(key_, kind_, required_, s, m)                                   \
     .key = key_, .kind = kind_, .required = required_, .offset = offsetof(s, m)
 #define U16_FIELD(key_, required_, s, m, min_, max_, unit_)                   \
@@ -92,7 +92,7 @@
 #define REQUIRED true
 #define OPTIONAL false
 
-/* The fields that one struct takes from a table. */
+/* The fields that are read from a table into one struct. */
 typedef struct {
     const field_t *fields;
     size_t n;
@@ -101,24 +101,24 @@
 
 #define FIELD_COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-/* Where a table was read: for errors. */
+/* Source of a table, for error messages. */
 typedef struct {
     const char *file;
     err_t *e;
 } origin_t;
 
-/* Reads TABLE into the structs of SETS.  Keys of no set are errors, but for
- * those in OTHER_KEYS (NULL at its end; may be NULL).  0 or -EINVAL. */
+/* Reads TABLE into the structs of SETS.  A key is an error unless it is in a
+ * set or in OTHER_KEYS (NULL-terminated; may be NULL).  0 or -EINVAL. */
 int fields_read(const origin_t *o, const toml_node_t *table,
                 const field_set_t *sets, size_t n,
                 const char *const *other_keys);
 
-/* Writes the value of F in STRUCT_ as an operator would write it. */
+/* Formats the value of F in STRUCT_ as in a configuration file. */
 void field_text(const field_t *f, const void *struct_, char *buf, size_t cap);
 
 /* 1 to NAME_LEN - 1 lower-case letters, digits and '-'. */
 bool name_valid(const char *s);
-/* Not 0.0.0.0, broadcast or multicast: an address that one host has. */
+/* True for a unicast address: not unspecified, broadcast or multicast. */
 bool addr_usable(const addr_t *a);
 
 #endif
--- a/conf/model.c
+++ b/conf/model.c
@@ -1,5 +1,4 @@
-/* The fields of a service and of an upstream: their keys, limits and units.
- */
+/* The fields of a service and of an upstream: keys, limits and units. */
 #include "conf/model.h"
 
 #define DAY_MS (24 * 3600 * 1000)
--- a/conf/model.h
+++ b/conf/model.h
@@ -1,4 +1,5 @@
-/* model: the tables of the configuration, described.  Private to conf/. */
+/* model: field descriptions of the configuration's tables, and the draft that
+ * a configuration is parsed into.  Private to conf/. */
 #ifndef SISKIN_MODEL_H
 #define SISKIN_MODEL_H
 
@@ -8,19 +9,19 @@
 #define SLOTS_MAX 10000
 #define CONNECTIONS_MAX 10000000
 
-/* Members of conf_service_t, and of conf_upstream_t. */
+/* Fields of conf_service_t and of conf_upstream_t. */
 extern const field_t service_fields[];
 extern const size_t n_service_fields;
 extern const field_t upstream_fields[];
 extern const size_t n_upstream_fields;
 
-/* What an upstream takes from its service's tables unless it says more. */
+/* Defaults from the service's tables for upstreams that don't set a value. */
 typedef struct {
     uint16_t slots;
     uint32_t connections;
 } limits_t;
 
-/* A service or an upstream while it is being read. */
+/* A service or an upstream during parsing. */
 typedef struct {
     conf_service_t s;
     limits_t limits;
@@ -45,8 +46,8 @@
     size_t cap_upstreams;
 } draft_t;
 
-/* The rules that hold between tables.  Sorts the upstreams by service and
- * id.  0 or -EINVAL. */
+/* Checks the rules between tables and sorts the upstreams by service and id.
+ * 0 or -EINVAL. */
 int draft_check(draft_t *d, err_t *e);
 
 #endif
--- a/conf/parse.c
+++ b/conf/parse.c
@@ -1,4 +1,4 @@
-/* From texts to a checked configuration: base, overlays, rules, model. */
+/* Parses base and overlays into a draft, checks it and builds a conf_t. */
 #include "conf/model.h"
 #include "wire/wire.h"
 
@@ -58,7 +58,7 @@
 
     if (site == NULL) {
         return toml_fail(o->e, o->file, 1,
-                         "no [site] here; expected it with a name");
+                         "[site] is missing; expected a table with a name");
     }
     return fields_read(o, site, &set, 1, NULL);
 }
@@ -76,7 +76,7 @@
     s->line = line;
     if (!name_valid(name)) {
         return toml_fail(o->e, o->file, line,
-                         "service \"%.40s\" has a name that doesn't fit; "
+                         "service \"%.40s\" has an invalid name; "
                          "expected 1 to %d lower-case letters, digits and '-'",
                          name, NAME_LEN - 1);
     }
@@ -93,7 +93,7 @@
 
     if (n == 0 || toml_kind(table) != TOML_TABLE) {
         return toml_fail(o->e, o->file, table != NULL ? toml_line(table) : 1,
-                         "no service here; expected tables [service.NAME]");
+                         "no services; expected [service.NAME] tables");
     }
     d->services = calloc(n, sizeof(*d->services));
     if (d->services == NULL) {
@@ -147,7 +147,7 @@
                      name);
 }
 
-/* LIMITS, an entry for each service, starts as the base has it. */
+/* Updates LIMITS, which has an entry per service with the base's values. */
 static int
 read_limits(const draft_t *d, const origin_t *o, const toml_node_t *root,
             limits_t *limits)
@@ -160,7 +160,7 @@
     }
     if (toml_kind(table) != TOML_TABLE) {
         return toml_fail(o->e, o->file, toml_line(table),
-                         "service is %s; expected tables [service.NAME]",
+                         "service is %s; expected [service.NAME] tables",
                          toml_kind_text(table));
     }
     for (size_t i = 0; i < toml_size(table); i++) {
@@ -305,7 +305,7 @@
     return rc;
 }
 
-/* ---- The whole ---- */
+/* ---- Base and overlays together ---- */
 
 static int
 read_source(draft_t *d, const conf_source_t *src, bool base, err_t *e)
@@ -338,8 +338,8 @@
     }
     if (n == 0 || len > CONF_TEXT_MAX) {
         return err_set(e, -EINVAL, "check", n > 0 ? src[0].file : "-",
-                       "the texts have %zu bytes; expected 1 to %d", len,
-                       CONF_TEXT_MAX);
+                       "the files have %zu bytes in total; expected 1 to %d",
+                       len, CONF_TEXT_MAX);
     }
     for (size_t i = 0; i < n; i++) {
         rc = read_source(d, &src[i], i == 0, e);
@@ -350,7 +350,7 @@
     return draft_check(d, e);
 }
 
-/* The upstreams of the draft stand in the order of its services. */
+/* The upstreams of the draft are sorted by service. */
 static conf_t *
 assemble(const draft_t *d)
 {
--- a/conf/settings.c
+++ b/conf/settings.c
@@ -1,4 +1,4 @@
-/* An instance's own settings: one small file, read once at the start. */
+/* The settings of one instance: a small file, read once at startup. */
 #include "conf/conf.h"
 #include "conf/fields.h"
 
@@ -55,8 +55,8 @@
     return strlen(s) == 64 && strspn(s, "0123456789abcdefABCDEF") == 64;
 }
 
-/* Two sockets can't share an address; one that did would also take the
- * other's datagrams for its own. */
+/* Two sockets can't share an address: one would receive datagrams meant for
+ * the other. */
 static int
 check_addrs_differ(const settings_t *s, const origin_t *o,
                    const toml_node_t *root)
@@ -74,7 +74,7 @@
         for (size_t j = 0; j < i; j++) {
             if (addr_eq(udp[i].addr, udp[j].addr)) {
                 return fail_key(o, root, udp[i].key,
-                                "is an address that another key has; "
+                                "is also the address of another key; "
                                 "expected return_addr, own_addr and peer_addr "
                                 "to differ");
             }
@@ -82,7 +82,7 @@
     }
     if (addr_eq(&s->bulk_addr, &s->admin_addr)) {
         return fail_key(o, root, "bulk_addr",
-                        "is admin_addr too; expected them to differ");
+                        "equals admin_addr; expected them to differ");
     }
     return 0;
 }
@@ -92,16 +92,17 @@
 {
     if (s->bind_ip[0] != '\0' && !ip_valid(s->bind_ip)) {
         return fail_key(o, root, "bind_ip",
-                        "is no IP address; expected one as \"10.1.2.3\"");
+                        "is not an IP address; expected one such as "
+                        "\"10.1.2.3\"");
     }
     if (strncmp(s->platform_url, "http://", 7) != 0) {
         return fail_key(o, root, "platform_url",
-                        "doesn't fit; expected it as "
+                        "is not an http URL; expected it as "
                         "\"http://127.0.0.1:8500\"");
     }
     if (!key_valid(s->peer_key)) {
         return fail_key(o, root, "peer_key",
-                        "doesn't fit; expected 64 hexadecimal digits");
+                        "is invalid; expected 64 hexadecimal digits");
     }
     return check_addrs_differ(s, o, root);
 }
@@ -117,7 +118,7 @@
     }
     if (toml_kind(list) != TOML_ARRAY || toml_size(list) > PEERS_MAX) {
         return toml_fail(o->e, o->file, toml_line(list),
-                         "peer doesn't fit; expected at most %d [[peer]] "
+                         "peer is invalid; expected at most %d [[peer]] "
                          "tables",
                          PEERS_MAX);
     }
--- a/conf/tagged.c
+++ b/conf/tagged.c
@@ -6,22 +6,23 @@
 #include <errno.h>
 #include <string.h>
 
-/* A process that is killed at once after SIGTERM can't leave gracefully. */
+/* A process killed immediately after SIGTERM can't shut down gracefully. */
 #define STOP_MIN_MS 100
 #define STOP_MAX_MS 600000
 #define STOP_DEFAULT_MS 5000
-/* 31,000 flows an instance at the size designed for, and room for bursts. */
+/* The design size is 31,000 flows per instance; the rest is for bursts. */
 #define RECORDS_DEFAULT 65536
 #define RECORDS_MIN 256
 #define RECORDS_MAX 4000000
 
-/* Each asks some twice a second: together a small part of a core. */
+/* Each asks about twice a second; together they use a small part of a core. */
 #define FOLLOWERS_DEFAULT 32
 #define FOLLOWERS_MIN 2
 
 #define LINK_MBPS_MAX 400000
 
-/* A shorter time leaves no room for a peer that fails and another question. */
+/* A shorter limit leaves no time for a retry at another peer after one
+ * failed. */
 #define CHANGE_MIN_MS 1
 #define CHANGE_MAX_MS 600000
 #define FLOW_TTL_DEFAULT_S 60
@@ -34,7 +35,7 @@
 /* In the order of log_level_t. */
 static const char *const levels[] = {"error", "warn", "info", "debug", NULL};
 
-/* The settings, and the key that tells their kind. */
+/* The settings and their "kind" key. */
 typedef struct {
     tagged_settings_t s;
     unsigned kind;
@@ -98,7 +99,7 @@
     }
     if (toml_kind(list) != TOML_ARRAY || toml_size(list) > TAGGED_SEEDS) {
         return toml_fail(o->e, o->file, toml_line(list),
-                         "seeds doesn't fit; expected at most %d addresses",
+                         "seeds is invalid; expected at most %d addresses",
                          TAGGED_SEEDS);
     }
     for (size_t i = 0; i < toml_size(list); i++) {
@@ -106,8 +107,8 @@
         if (toml_kind(seed) != TOML_STRING ||
             addr_parse(&s->seed[i], toml_string(seed)) < 0) {
             return toml_fail(o->e, o->file, toml_line(seed),
-                             "seeds holds something else; expected "
-                             "addresses as \"10.1.0.10:8166\"");
+                             "seeds has an invalid entry; expected "
+                             "addresses such as \"10.1.0.10:8166\"");
         }
     }
     s->n_seeds = (uint32_t)toml_size(list);
@@ -141,7 +142,7 @@
     if (rc == 0 && strncmp(d.s.store_url, "http://", 7) != 0) {
         rc = toml_fail(e, file,
                        toml_line(toml_get(toml_doc_root(doc), "store_url")),
-                       "store_url doesn't fit; expected it as "
+                       "store_url is not an http URL; expected it as "
                        "\"http://127.0.0.1:8500\"");
     }
     toml_doc_free(doc);
--- a/conf/toml.cc
+++ b/conf/toml.cc
@@ -1,4 +1,4 @@
-// toml++ behind conf/toml.h.  The only file that sees its types.
+// Implements conf/toml.h with toml++; no other file includes toml++.
 #include "conf/toml.h"
 
 #include <algorithm>
@@ -10,10 +10,11 @@
 #include <string>
 #include <vector>
 
-// toml++ 3.3 asserts in its parser on some malformed texts (a key that starts
-// with a control byte): the program would abort on an operator's typing slip.
-// As an exception the assertion becomes a refusal like any other.  With NDEBUG
-// the header would drop the checks instead, and read on.  Those in noexcept
+// toml++ 3.3 fails an assertion in its parser on some malformed texts, such as
+// a key that starts with a control byte, so an operator's typing error would
+// abort the program.  TOML_ASSERT throws instead, and the text is rejected
+// like any other invalid text.  NDEBUG is undefined because toml++ would
+// otherwise skip the checks and read on.  The assertions in noexcept
 // accessors, of which gcc warns, hold for any text.
 #undef NDEBUG
 #define TOML_ASSERT(expr)                                                     \
@@ -24,9 +25,9 @@
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
-#define KEY_DOTS_MAX 32 // on one line, outside comments
+#define KEY_DOTS_MAX 32 // per line, outside comments
 
-// A node keeps C strings and children, so that no toml++ type gets out.
+// A copy of a toml++ node, so that callers see no toml++ type.
 struct toml_node {
     toml_kind_t kind = TOML_OTHER;
     int line = 0;
@@ -43,8 +44,8 @@
     toml_node root;
 };
 
-// C callers see a string up to its first NUL; without this, a key or value
-// with one inside would pass for its shorter beginning.
+// Replaces NUL bytes: C callers see a string up to its first NUL, so a key or
+// value with a NUL inside would be accepted as its prefix.
 static std::string
 printable(std::string_view s)
 {
@@ -91,9 +92,10 @@
     }
 }
 
-// toml++ bounds the depth of brackets but not that of dotted keys: each dot
-// is a table in a table, and its parser and destructor go down with them until
-// the stack is gone.  A key stands on one line, so its dots can be counted.
+// Returns the first line with more than KEY_DOTS_MAX dots, or 0.  toml++
+// limits the depth of brackets but not of dotted keys.  Each dot nests a
+// table, and the recursion of its parser and destructor overflows the stack.
+// A key can't span lines, so counting the dots of a line is enough.
 static int
 find_deep_key_line(const char *text)
 {
@@ -124,7 +126,7 @@
     int deep = find_deep_key_line(text);
 
     if (deep > 0) {
-        toml_fail(e, file, deep, "%d dots and more; expected fewer on a line",
+        toml_fail(e, file, deep, "more than %d dots on a line; expected fewer",
                   KEY_DOTS_MAX);
         return nullptr;
     }
@@ -259,7 +261,7 @@
     va_start(ap, fmt);
     vsnprintf(text, sizeof(text), fmt, ap);
     va_end(ap);
-    // Of a long path the end is kept: it names the file.
+    // A long path is cut at the front, since its end names the file.
     size_t tail = (size_t)snprintf(number, sizeof(number), ":%d", line);
     size_t room = sizeof(location) - 1 - tail;
     size_t len = strlen(file);
--- a/test/conf_test.cc
+++ b/test/conf_test.cc
@@ -1,5 +1,5 @@
-// The operators' configuration: what is accepted, what each refusal says and
-// where, and how two versions compare.
+// Parsing of the configuration, its error messages and their locations, and
+// comparison of versions.
 #include "conf/conf.h"
 #include "conf/tagged.h"
 #include "wire/wire.h"
@@ -66,7 +66,7 @@
     return conf_ptr(conf_parse(src.data(), src.size(), e), conf_free);
 }
 
-// TEXT with its one FROM replaced by TO.
+// Returns TEXT with the first FROM replaced by TO.
 static std::string
 edit(std::string text, const std::string &from, const std::string &to)
 {
@@ -116,7 +116,7 @@
 }
 
 struct invalid_edit_t {
-    const char *file; // which text is edited
+    const char *file; // text to edit
     std::string from, to;
     const char *location, *error;
 };
@@ -211,9 +211,9 @@
     EXPECT_EQ(4u, diff(c.get(), nullptr).size());
 }
 
-// An operator moves a server from the archive to monitoring.  An instance
-// that still has the old version would send it archive uploads; so the
-// address has to be absent for a version.
+// Guards against an upstream that changes its service in one step: an instance
+// that still has the old version would send the old service's uploads to it.
+// The address has to be absent for one version.
 TEST(Conf, RejectsUpstreamMovedToAnotherServiceInOneStep)
 {
     std::string more = brno + "[[upstream]]\nservice = \"archiv\"\n"
@@ -230,7 +230,8 @@
     EXPECT_EQ(0, conf_step_check(nullptr, b.get(), &e));
 }
 
-// Two services swap addresses: callers of the one would reach the other.
+// Guards against a service that takes another service's address in one step:
+// callers of one service would reach the other.
 TEST(Conf, RejectsServiceAddressMovedInOneStep)
 {
     std::string swapped = edit(base, "127.1.0.1", "127.1.0.9");
@@ -241,8 +242,9 @@
     EXPECT_EQ(-EINVAL, conf_step_check(a.get(), other.get(), nullptr));
 }
 
-// What was an upstream becomes a service's own address: an instance with the
-// old version sends it datagrams that arrive as a caller's.
+// Guards against an upstream's address that becomes a service's address in one
+// step: datagrams that an instance with the old version sends to the upstream
+// would be received as a caller's.
 TEST(Conf, RejectsUpstreamAddressReusedForServiceInOneStep)
 {
     conf_ptr a = parse({base, brno});
@@ -254,8 +256,8 @@
     EXPECT_EQ(-EINVAL, conf_step_check(b.get(), a.get(), nullptr));
 }
 
-// An overlay as people write them: keys in any order, comments, blank lines,
-// marks that are there already.
+// A hand-written upstream table: keys in any order, comments, blank lines, and
+// possibly a draining key already.
 static std::string
 upstream_text(int host)
 {
@@ -349,8 +351,8 @@
     EXPECT_EQ(conf_text_hash(ab, 2), conf_text_hash(named, 2));
 }
 
-// Each dot of a key opens a table in the one before, each bracket an array:
-// a reader that goes down with them runs out of stack.
+// Guards against stack overflow: each dot of a key nests a table and each
+// bracket an array, and a recursive parser uses stack for each level.
 TEST(Conf, RejectsDeepNesting)
 {
     for (std::string piece : {"a.", "\"#\".", "a=[", "[", "a={", "[["}) {
@@ -371,8 +373,8 @@
     RC_ASSERT(c || (e.code == -EINVAL && e.text[0] != '\0'));
 }
 
-// Valid texts with a few bytes changed reach further into the reader than
-// made-up ones.  What is accepted equals its copy.
+// Valid texts with a few changed bytes reach deeper into the parser than
+// random texts.  An accepted configuration equals its copy.
 RC_GTEST_PROP(Conf, ParserHandlesCorruptedText, ())
 {
     std::string texts[] = {base, brno, olomouc};
@@ -473,8 +475,8 @@
     EXPECT_EQ(0, s.link_mbps);
 }
 
-/* Guards against: an instance that doesn't start because the platform's own
- * bound is short or a fraction. */
+/* Guards against an instance that doesn't start because the platform's time
+ * limit is short or a fraction. */
 TEST(TaggedSettings, ParsesApplyAndDrainTimes)
 {
     tagged_settings_t s;
