--- a/conf/conf.h
+++ b/conf/conf.h
@@ -38,10 +38,9 @@
     addr_t addr; /* destination of callers' datagrams */
     proto_t proto;
     prefer_t prefer;
-    uint16_t urgent_slots; /* slots of each upstream not used for uploads */
-    uint16_t queue; /* requests queued at an upstream beyond its slots */
-    uint16_t
-        retry_percent; /* limit of retries, relative to forwarded requests */
+    uint16_t urgent_slots; /* slots of each upstream closed to uploads */
+    uint16_t queue; /* limit of requests at an upstream past its slots */
+    uint16_t retry_percent;  /* limit of retries, of forwarded requests */
     uint16_t caller_share;   /* limit of requests in progress per IP */
     uint32_t request_ms;     /* timeout of an unanswered request */
     uint32_t flow_idle_ms;   /* idle timeout of a flow */
--- a/test/conf_test.cc
+++ b/test/conf_test.cc
@@ -429,7 +429,7 @@
     EXPECT_EQ(-ENOENT, settings_read(&s, "/nonexistent", &e));
 }
 
-TEST(Settings, ReportsEachErrorWithFileAndLine)
+TEST(Settings, ReportsInvalidKeyWithFileAndLine)
 {
     const invalid_edit_t edits[] = {
         {"", "127.0.1.1:6001", "127.0.1.1:6000", "i.toml:5", "differ"},
