--- a/conf/edit.c
+++ b/conf/edit.c
@@ -1,4 +1,4 @@
-/* One edit of an overlay's text, which keeps the operators' own lines and
+/* Sets "draining" in an overlay's text and keeps all other lines and
  * comments. */
 #include "conf/conf.h"
 #include "conf/toml.h"
@@ -59,7 +59,7 @@
 }
 
 static char *
-edit(const char *text, const toml_node_t *upstream, bool draining)
+edit_text(const char *text, const toml_node_t *upstream, bool draining)
 {
     const toml_node_t *old = toml_get(upstream, "draining");
     int line = toml_line(toml_get(upstream, "address"));
@@ -73,15 +73,16 @@
         from = line_start(text, line + 1);
         to = from;
     }
-    if (from == NULL) { /* behind the last line */
+    if (from == NULL) { /* the text ends with this line */
         from = text + strlen(text);
     }
     return splice(text, from, to != NULL ? to : "", draining);
 }
 
-/* An inline table, or two keys on a line, end as something else. */
+/* Checks the edited text: the edit goes wrong on an inline table or two keys
+ * on one line. */
 static bool
-is_as_wanted(const char *text, const addr_t *a, bool draining)
+draining_is_set_to(const char *text, const addr_t *a, bool draining)
 {
     toml_doc_t *doc = toml_doc_parse("-", text, NULL);
     const toml_node_t *n = NULL;
@@ -112,13 +113,13 @@
     addr_text(a, addr);
     upstream = find_upstream(toml_doc_root(doc), a);
     if (upstream == NULL) {
-        err_set(e, -ENOENT, STEP, addr, "no such upstream here");
+        err_set(e, -ENOENT, STEP, addr, "no such upstream in this overlay");
     }
     else {
-        out = edit(text, upstream, draining);
+        out = edit_text(text, upstream, draining);
     }
     toml_doc_free(doc);
-    if (out != NULL && !is_as_wanted(out, a, draining)) {
+    if (out != NULL && !draining_is_set_to(out, a, draining)) {
         free(out);
         out = NULL;
         err_set(e, -EINVAL, STEP, addr,
