--- a/siskind/admin.c
+++ b/siskind/admin.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define ANSWER_MS 2000
+#define QUERY_TIMEOUT_MS 2000
 #define CONNECTIONS_MAX 16
 #define IDLE_S 5
 
@@ -23,24 +23,24 @@
 }
 
 /* Asks decide, and waits a bounded time. */
-static ask_t *
-ask_decide(const daemon_t *d, ask_kind_t kind)
+static query_t *
+query_decide(const daemon_t *d, query_kind_t kind)
 {
-    ask_t *a = ask_new(kind);
-    note_t *n = note_new(MSG_ASK);
+    query_t *a = query_new(kind);
+    control_t *n = control_new(MSG_QUERY);
 
     if (a == NULL || n == NULL) {
         free(n);
         if (a != NULL) {
-            ask_release(a);
-            ask_release(a);
+            query_release(a);
+            query_release(a);
         }
         return NULL;
     }
     n->ask = a;
-    if (note_post(kern_find(d->kern, "decide"), n) < 0 ||
-        ask_wait(a, ANSWER_MS) < 0) {
-        ask_release(a);
+    if (control_post(kern_find(d->kern, "decide"), n) < 0 ||
+        query_wait(a, QUERY_TIMEOUT_MS) < 0) {
+        query_release(a);
         return NULL;
     }
     return a;
@@ -50,22 +50,22 @@
 
 typedef struct {
     const char *method, *path;
-    ask_kind_t ask;
+    query_kind_t ask;
     page_t page;
 } route_t;
 
 static const route_t routes[] = {
-    {"GET", "/metrics", ASK_STATUS, PAGE_METRICS},
-    {"GET", "/status", ASK_STATUS, PAGE_STATUS},
-    {"GET", "/flows", ASK_STATUS, PAGE_FLOWS},
-    {"POST", "/drain", ASK_DRAIN, PAGE_CHANGE},
-    {"POST", "/undrain", ASK_UNDRAIN, PAGE_CHANGE},
+    {"GET", "/metrics", QUERY_STATUS, PAGE_METRICS},
+    {"GET", "/status", QUERY_STATUS, PAGE_STATUS},
+    {"GET", "/flows", QUERY_STATUS, PAGE_FLOWS},
+    {"POST", "/drain", QUERY_DRAIN, PAGE_CHANGE},
+    {"POST", "/undrain", QUERY_UNDRAIN, PAGE_CHANGE},
 };
 
 static enum MHD_Result
 answer(struct MHD_Connection *c, const daemon_t *d, const route_t *route)
 {
-    ask_t *a = ask_decide(d, route->ask);
+    query_t *a = query_decide(d, route->ask);
     enum MHD_Result rc = MHD_NO;
 
     if (a == NULL) {
@@ -88,7 +88,7 @@
                         report_status(d, &a->view));
         break;
     }
-    ask_release(a);
+    query_release(a);
     return rc;
 }
 
--- a/siskind/bulk.c
+++ b/siskind/bulk.c
@@ -1,9 +1,10 @@
-/* The bulk duty: configuration between instances, over ZeroMQ and CURVE.
+/* The bulk duty: transfers configuration between instances, over ZeroMQ with
+ * CURVE.
  *
- * A request is "GET" and the version that the asker has, as text, 0 for none;
- * the answer (siskind/reply.h) has what leads from there to the newest.  Both
- * ends derive the same CURVE key pair from the peer key, so only instances
- * that hold it can connect.
+ * A request is the text "GET" and the version that the requester has, 0 for
+ * none.  The answer (siskind/reply.h) contains the differences from that
+ * version to the newest.  Both ends derive the same CURVE key pair from the
+ * peer key, so only instances that hold the peer key can connect.
  */
 #include "siskind/reply.h"
 #include "siskind/siskind.h"
@@ -17,11 +18,11 @@
 
 #define Z85_LEN 41
 #define MESSAGE_MAX (CONF_TEXT_MAX + 128 * 1024)
-#define QUEUE_MAX 64   /* messages a socket holds */
-#define FETCH_MS 1500  /* an answer is waited for so long */
-#define CANDIDATES 4   /* peers known to have a newer version */
-#define REQUEST_MAX 32 /* bytes of a request */
-#define REQUESTS_A_TURN 16
+#define QUEUE_MAX 64          /* queued messages per socket */
+#define FETCH_TIMEOUT_MS 1500 /* wait for an answer */
+#define CANDIDATES_MAX 4      /* peers that have a newer version */
+#define REQUEST_MAX 32        /* bytes of a request */
+#define REQUESTS_PER_TURN 16
 
 typedef struct {
     char name[NAME_LEN];
@@ -32,16 +33,17 @@
 typedef struct {
     daemon_t *d;
     void *ctx, *server;
-    void *client; /* the fetch under way, or NULL */
+    void *client; /* the fetch in progress, or NULL */
     candidate_t from;
     ms_t deadline;
-    size_t n;
-    candidate_t waiting[CANDIDATES];
-    versions_t versions; /* the one in force and the last few */
-    bool want_whole;     /* the last answer didn't fit the version here */
-    uint64_t offered;    /* fetched last; decide may not have it yet */
+    size_t n_candidates;
+    candidate_t candidate[CANDIDATES_MAX];
+    versions_t versions; /* the version in force and recent ones */
+    bool want_full;      /* the last difference didn't apply: request all */
+    uint64_t
+        offered_version; /* last fetched; may still be queued for decide */
     ms_t offered_at;
-    int taken; /* versions of the last answer that were offered */
+    int accepted; /* versions accepted from the last answer */
     char public_key[Z85_LEN], secret_key[Z85_LEN];
 } bulk_t;
 
@@ -59,15 +61,15 @@
     return zmq_curve_public(b->public_key, b->secret_key) < 0 ? -errno : 0;
 }
 
-/* Bounds of every socket: a peer that is silent, slow or hostile costs no
- * more than this. */
+/* Sets the limits of a socket, which bound the cost of a silent, slow or
+ * hostile peer. */
 static void
-set_bounds(void *s)
+set_limits(void *s)
 {
     int queue = QUEUE_MAX;
     int linger = 0;
     int wait = 0;
-    int handshake = FETCH_MS;
+    int handshake = FETCH_TIMEOUT_MS;
     int64_t most = MESSAGE_MAX;
 
     zmq_setsockopt(s, ZMQ_RCVHWM, &queue, sizeof(queue));
@@ -97,7 +99,7 @@
     if (b->server == NULL) {
         return -errno;
     }
-    set_bounds(b->server);
+    set_limits(b->server);
     zmq_setsockopt(b->server, ZMQ_CURVE_SERVER, &on, sizeof(on));
     zmq_setsockopt(b->server, ZMQ_CURVE_SECRETKEY, b->secret_key, Z85_LEN - 1);
     endpoint(where, sizeof(where), &b->d->settings.bulk_addr);
@@ -115,40 +117,41 @@
 }
 
 static void
-answer(bulk_t *b, zmq_msg_t *asker, uint64_t have)
+answer(bulk_t *b, zmq_msg_t *requester, uint64_t have)
 {
     int sent;
 
-    if (zmq_msg_send(asker, b->server, ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0) {
+    if (zmq_msg_send(requester, b->server, ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0) {
         return;
     }
     sent = reply_send(b->server, &b->versions, have, clock_now(),
-                      FACT(b->d, complete));
+                      SHARED_GET(b->d, history_complete));
     if (sent > 0) {
         counter_add(&b->d->count.bulk_served, 1);
         counter_add(&b->d->count.bulk_bytes, (uint64_t)sent);
     }
 }
 
-/* Reads one request: the asker's identity and a frame.  False: none. */
+/* Serves one request: the requester's identity and a frame.  Returns false
+ * when none is waiting. */
 static bool
 serve_one(bulk_t *b)
 {
-    zmq_msg_t asker;
+    zmq_msg_t requester;
     char text[REQUEST_MAX + 1];
     int n;
 
-    zmq_msg_init(&asker);
-    if (zmq_msg_recv(&asker, b->server, ZMQ_DONTWAIT) < 0) {
-        zmq_msg_close(&asker);
+    zmq_msg_init(&requester);
+    if (zmq_msg_recv(&requester, b->server, ZMQ_DONTWAIT) < 0) {
+        zmq_msg_close(&requester);
         return false;
     }
     n = zmq_recv(b->server, text, REQUEST_MAX, ZMQ_DONTWAIT);
     if (n > 0 && n <= REQUEST_MAX) {
         text[n] = '\0';
-        answer(b, &asker, read_request(text));
+        answer(b, &requester, read_request(text));
     }
-    zmq_msg_close(&asker);
+    zmq_msg_close(&requester);
     return true;
 }
 
@@ -172,14 +175,13 @@
     if (b->client == NULL) {
         return -errno;
     }
-    set_bounds(b->client);
+    set_limits(b->client);
     zmq_setsockopt(b->client, ZMQ_CURVE_SERVERKEY, b->public_key, Z85_LEN - 1);
     zmq_setsockopt(b->client, ZMQ_CURVE_PUBLICKEY, b->public_key, Z85_LEN - 1);
     zmq_setsockopt(b->client, ZMQ_CURVE_SECRETKEY, b->secret_key, Z85_LEN - 1);
     endpoint(where, sizeof(where), &b->from.addr);
-    n = snprintf(
-        request, sizeof(request), "GET %llu",
-        (unsigned long long)(b->want_whole ? 0 : b->versions.version));
+    n = snprintf(request, sizeof(request), "GET %llu",
+                 (unsigned long long)(b->want_full ? 0 : b->versions.version));
     if (zmq_connect(b->client, where) < 0 ||
         zmq_send(b->client, request, (size_t)n, ZMQ_DONTWAIT) < 0) {
         fetch_end(b);
@@ -188,28 +190,31 @@
     return 0;
 }
 
-/* What was just fetched is on its way to decide: another peer would give the
- * same again, whole to an instance that starts.  Only for a while: should
- * decide refuse it, gossip names the peers again. */
+/* True when VERSION should be fetched.  A version just fetched may still be
+ * queued for decide; another peer would send the same again, and the whole
+ * text to an instance that starts.  The check expires after FETCH_TIMEOUT_MS,
+ * so that the version is fetched again from the peers that gossip names if
+ * decide refused it. */
 static bool
 is_newer(const bulk_t *b, uint64_t version)
 {
-    if (version <= FACT(b->d, version)) {
+    if (version <= SHARED_GET(b->d, version)) {
         return false;
     }
-    return version > b->offered || clock_now() - b->offered_at > FETCH_MS;
+    return version > b->offered_version ||
+           clock_now() - b->offered_at > FETCH_TIMEOUT_MS;
 }
 
-/* Asks the next candidate that still has something newer. */
+/* Starts a fetch from the next candidate with a version to fetch. */
 static void
 fetch_next(bulk_t *b)
 {
-    while (b->client == NULL && b->n > 0) {
-        b->from = b->waiting[--b->n];
+    while (b->client == NULL && b->n_candidates > 0) {
+        b->from = b->candidate[--b->n_candidates];
         if (!is_newer(b, b->from.version)) {
             continue;
         }
-        b->deadline = clock_now() + FETCH_MS;
+        b->deadline = clock_now() + FETCH_TIMEOUT_MS;
         if (fetch_connect(b) < 0) {
             counter_add(&b->d->count.bulk_refused, 1);
         }
@@ -217,56 +222,57 @@
 }
 
 static void
-add_candidate(bulk_t *b, const note_t *n)
+add_candidate(bulk_t *b, const control_t *n)
 {
     candidate_t c = {.addr = n->fetch.bulk_addr, .version = n->fetch.version};
     size_t i = 0;
 
     memcpy(c.name, n->fetch.name, sizeof(c.name));
-    while (i < b->n && !addr_eq(&b->waiting[i].addr, &c.addr)) {
+    while (i < b->n_candidates && !addr_eq(&b->candidate[i].addr, &c.addr)) {
         i++;
     }
-    if (i == CANDIDATES) {
-        return; /* enough of them: gossip names it again */
+    if (i == CANDIDATES_MAX) {
+        return; /* full: gossip will name the peer again */
     }
-    b->waiting[i] = c;
-    b->n = i == b->n ? i + 1 : b->n;
+    b->candidate[i] = c;
+    b->n_candidates = i == b->n_candidates ? i + 1 : b->n_candidates;
 }
 
-/* All versions are offered, not the newest alone: an instance that starts
- * learns from them which upstreams may hold older requests. */
+/* Offers every version to decide, not just the newest: the older ones tell a
+ * starting instance which upstreams may hold earlier requests. */
 static void
-fetch_take(void *arg, const blob_t *text, ms_t age, bool complete)
+offer_version(void *arg, const blob_t *text, ms_t age, bool complete)
 {
     bulk_t *b = arg;
-    origin_t o = {.part = "bulk",
-                  .from = b->from.name,
-                  .age = age,
-                  .complete = complete};
+    bundle_source_t o = {.part = "bulk",
+                         .from = b->from.name,
+                         .age = age,
+                         .complete = complete};
     char *json = strndup((const char *)text->data, text->len);
 
     if (json != NULL && offer_bundle(b->d, json, &o) >= 0) {
-        b->taken++;
+        b->accepted++;
     }
 }
 
-/* An answer: the content hash and the version number are checked; a stale or
- * wrong one is dropped and another peer is asked.  A difference that doesn't
- * fit would not fit again, so then all is asked for. */
+/* Receives an answer.  offer_bundle() checks the content hash and the version
+ * number; a stale or invalid answer is dropped and the next peer is tried.  A
+ * difference that doesn't apply would fail again, so the next request is for
+ * the whole text. */
 static void
-fetch_answer(bulk_t *b)
+receive_answer(bulk_t *b)
 {
     int rc;
 
-    b->taken = 0;
-    rc = reply_receive(b->client, &b->versions, fetch_take, b);
+    b->accepted = 0;
+    rc = reply_receive(b->client, &b->versions, offer_version, b);
     fetch_end(b);
-    b->want_whole = rc == -EBADMSG;
-    if (rc < 0 || b->taken == 0) {
+    b->want_full = rc == -EBADMSG;
+    if (rc < 0 || b->accepted == 0) {
         counter_add(&b->d->count.bulk_refused, 1);
         return;
     }
-    b->offered = b->from.version;
+    b->offered_version = b->from.version;
     b->offered_at = clock_now();
     counter_add(&b->d->count.bulk_fetched, 1);
 }
@@ -278,7 +284,7 @@
         return;
     }
     log_line(LVL_WARN, "bulk",
-             "A peer doesn't give its version. peer=%s "
+             "A peer didn't answer a request for its version. peer=%s "
              "version=%llu",
              b->from.name, (unsigned long long)b->from.version);
     counter_add(&b->d->count.bulk_refused, 1);
@@ -293,7 +299,7 @@
     void *msg;
 
     while (duty_take(self, &msg, 1) == 1) {
-        note_t *n = msg;
+        control_t *n = msg;
         if (n->kind == MSG_BUNDLE) {
             versions_add(&b->versions, n->conf.version,
                          clock_now() - n->conf.age, n->conf.json);
@@ -307,7 +313,7 @@
 }
 
 static void
-one_turn(duty_t *self, bulk_t *b)
+run_once(duty_t *self, bulk_t *b)
 {
     zmq_pollitem_t item[3] = {
         {.fd = duty_fd(self), .events = ZMQ_POLLIN},
@@ -318,11 +324,11 @@
 
     zmq_poll(item, b->client != NULL ? 3 : 2, duty_sleep(self) ? wait : 0);
     duty_awake(self);
-    for (int i = 0; i < REQUESTS_A_TURN && serve_one(b); i++) {
+    for (int i = 0; i < REQUESTS_PER_TURN && serve_one(b); i++) {
         continue;
     }
     if (b->client != NULL && (item[2].revents & ZMQ_POLLIN)) {
-        fetch_answer(b);
+        receive_answer(b);
     }
     fetch_timeout(b);
     read_inbox(self, b);
@@ -354,11 +360,11 @@
     b->d = daemon;
     rc = bulk_open(b);
     if (rc < 0) {
-        log_line(LVL_ERROR, "bulk", "It can't serve peers. error=\"%s\"",
+        log_line(LVL_ERROR, "bulk", "Can't serve peers. error=\"%s\"",
                  zmq_strerror(-rc));
     }
     while (rc == 0 && !duty_stopping(self)) {
-        one_turn(self, b);
+        run_once(self, b);
     }
     if (b->client != NULL) {
         fetch_end(b);
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -1,4 +1,4 @@
-/* The decide duty: owns core and members, and so every decision. */
+/* The decide duty: owns core and members, and makes every decision. */
 #include "siskind/decide.h"
 
 #include <errno.h>
@@ -7,14 +7,15 @@
 #include <string.h>
 #include <time.h>
 
-#define TAKE 64
+#define MSGS_PER_TURN 64
 #define TICK_MS 20
 #define PORTS_RETRY_MS 1000
 
 /* Sizes of core's tables: 16 MB of flows, 12 MB of hints and 19 MB of
- * exchanges when all are in use.  A record of a non-idempotent request lives
- * for EXCHANGE_MS, or for DOUBT_MS when three quarters are in use: some 200
- * such requests a second without a loss, 1,000 with the shorter memory. */
+ * exchanges when full.  The record of a non-idempotent request is kept for
+ * EXCHANGE_MS, or for DOUBT_MS once three quarters of the table are in use.
+ * No record is lost up to some 200 such requests a second, or 1,000 with the
+ * shorter lifetime. */
 #define MAX_FLOWS 500000
 #define MAX_HINTS 500000
 #define MAX_EXCHANGES 65536
@@ -39,8 +40,8 @@
     }
 }
 
-/* The addresses are copied, since a datagram that is sent on has its own
- * overwritten while core still reads them. */
+/* Copies the addresses: when the packet's buffer is reused for the output, its
+ * addresses are overwritten while core still reads them. */
 static void
 decide_packet(decide_t *c, const packet_t *p)
 {
@@ -70,12 +71,12 @@
         msg_drop(p);
         return;
     }
-    c->in = p;
-    c->forward = false;
+    c->current = p;
+    c->current_taken = false;
     decide_packet(c, p);
-    c->in = NULL;
-    if (c->forward) {
-        output_forward(c, p);
+    c->current = NULL;
+    if (c->current_taken) {
+        output_current(c, p);
     }
     else {
         msg_drop(p);
@@ -85,18 +86,18 @@
 static void
 post_ports(decide_t *c, duty_t *to)
 {
-    note_t *n = note_new(MSG_PORTS);
+    control_t *n = control_new(MSG_PORTS);
 
     if (n == NULL) {
         return;
     }
-    n->ports = ports_hold(c->ports);
-    if (note_post(to, n) < 0) {
-        c->ports->missing = true; /* so that it is tried again */
+    n->ports = ports_retain(c->ports);
+    if (control_post(to, n) < 0) {
+        c->ports->missing = true; /* retry */
     }
 }
 
-/* Opens the services' sockets; those that can't be bound are tried again. */
+/* Opens the services' sockets; tick() retries those that can't be bound. */
 static void
 open_ports(decide_t *c)
 {
@@ -108,15 +109,15 @@
     }
     ports_release(c->ports);
     c->ports = p;
-    post_ports(c, c->send); /* first, so that answers find their socket */
+    post_ports(c, c->send); /* first: answers need their socket */
     post_ports(c, c->receive);
 }
 
-/* Gives the version in force to bulk, which serves it to peers. */
+/* Passes the version in force to bulk, which serves it to peers. */
 static void
 publish(decide_t *c, char *json, ms_t age)
 {
-    note_t *n = note_new(MSG_BUNDLE);
+    control_t *n = control_new(MSG_BUNDLE);
 
     if (n == NULL) {
         free(json);
@@ -125,13 +126,13 @@
     n->conf.json = json;
     n->conf.version = c->conf->version;
     n->conf.age = age;
-    note_post(c->bulk, n);
+    control_post(c->bulk, n);
 }
 
-/* Versions only rise: a late answer of the platform or of a peer that is
- * behind ends here. */
+/* Versions only increase: a late answer from the platform, or one from a peer
+ * that is behind, is rejected here. */
 static void
-on_conf(decide_t *c, note_t *n)
+on_conf(decide_t *c, control_t *n)
 {
     conf_t *conf = n->conf.conf;
     conf_t *old = c->conf;
@@ -146,18 +147,18 @@
     rc = core_set_conf(c->core, c->now - n->conf.age, conf);
     if (rc == -ENOMEM) {
         log_line(LVL_ERROR, "decide",
-                 "Out of memory: a version is not taken. version=%llu",
+                 "Out of memory: a version is not applied. version=%llu",
                  (unsigned long long)conf->version);
     }
     if (rc < 0) {
         return;
     }
-    FACT_SET(c->d, complete, core_history_is_complete(c->core));
+    SHARED_SET(c->d, history_complete, core_history_is_complete(c->core));
     n->conf.conf = NULL;
     c->conf = conf;
     c->conf_at = c->now - n->conf.age;
     members_set_version(c->members, c->now, conf->version, conf->hash);
-    FACT_SET(c->d, version, conf->version);
+    SHARED_SET(c->d, version, conf->version);
     open_ports(c);
     publish(c, n->conf.json, n->conf.age);
     n->conf.json = NULL;
@@ -170,7 +171,7 @@
 }
 
 static void
-on_list(decide_t *c, const note_t *n)
+on_list(decide_t *c, const control_t *n)
 {
     uint64_t *ids = calloc(n->list.n + 1, sizeof(*ids));
     size_t others = 0;
@@ -196,12 +197,12 @@
         members_learn(c->members, c->now, &m);
     }
     members_listed(c->members, c->now, ids, n->list.n);
-    c->alone = listed && others == 0;
+    c->listed_alone = listed && others == 0;
     free(ids);
 }
 
 static void
-on_note(decide_t *c, note_t *n)
+on_control(decide_t *c, control_t *n)
 {
     switch (n->kind) {
     case MSG_CONF:
@@ -210,8 +211,8 @@
     case MSG_LIST:
         on_list(c, n);
         break;
-    case MSG_ASK:
-        view_answer(c, n->ask);
+    case MSG_QUERY:
+        answer_query(c, n->ask);
         break;
     case MSG_LEAVE:
         c->stopping = true;
@@ -222,33 +223,37 @@
     }
 }
 
-/* Tells core of members and of what is in doubt, when any of it changed. */
+/* Passes the members, the time of the last suspicion and the lowest version to
+ * core when any of them changed. */
 static void
-tell_core(decide_t *c)
+update_core_members(decide_t *c)
 {
     const member_t *list;
     size_t n;
     uint32_t peers = 0;
-    ms_t doubt = members_doubt_at(c->members, c->now);
-    uint64_t lowest = members_lowest_version(c->members);
+    ms_t suspect_at = members_doubt_at(c->members, c->now);
+    uint64_t lowest_version = members_lowest_version(c->members);
 
-    if (!c->members_changed && doubt == c->doubt_at && lowest == c->lowest) {
+    if (!c->members_changed && suspect_at == c->core_suspect_at &&
+        lowest_version == c->core_lowest_version) {
         return;
     }
     c->members_changed = false;
-    c->doubt_at = doubt;
-    c->lowest = lowest;
+    c->core_suspect_at = suspect_at;
+    c->core_lowest_version = lowest_version;
     n = members_list(c->members, &list);
-    if (core_set_members(c->core, c->now, list, n, doubt, lowest) < 0) {
+    if (core_set_members(c->core, c->now, list, n, suspect_at,
+                         lowest_version) < 0) {
         log_line(LVL_ERROR, "decide",
-                 "Out of memory: the members are taken later. members=%zu", n);
+                 "Out of memory: the members are applied later. members=%zu",
+                 n);
         c->members_changed = true;
         return;
     }
     for (size_t i = 0; i < n; i++) {
         peers += list[i].id != c->d->self && list[i].state != MEMBER_GONE;
     }
-    FACT_SET(c->d, peers, peers);
+    SHARED_SET(c->d, peers, peers);
 }
 
 static void
@@ -257,7 +262,8 @@
     c->tick_at = c->now + TICK_MS;
     members_tick(c->members, c->now);
     core_tick(c->core, c->now);
-    FACT_SET(c->d, watches, members_watches(c->members, WATCHERS));
+    SHARED_SET(c->d, watches,
+               members_watches(c->members, WATCHERS_PER_DATA_CENTRE));
     life_tick(c);
     if (c->ports != NULL && c->ports->missing &&
         c->now - c->ports_at >= PORTS_RETRY_MS) {
@@ -265,41 +271,41 @@
     }
 }
 
-/* The tick goes first: after a pause it drops all trust before any message
- * from before the pause is acted on. */
+/* Ticks first: after a pause, the tick drops all identity leases before any
+ * message from before the pause is handled. */
 static void
-one_turn(decide_t *c, duty_t *self)
+run_once(decide_t *c, duty_t *self)
 {
-    void *msg[TAKE];
-    size_t n = duty_take(self, msg, TAKE);
+    void *msg[MSGS_PER_TURN];
+    size_t n = duty_take(self, msg, MSGS_PER_TURN);
 
     c->now = clock_now();
     if (c->now >= c->tick_at) {
         tick(c);
     }
     for (size_t i = 0; i < n; i++) {
-        if (((note_t *)msg[i])->kind == MSG_PACKET) {
+        if (((control_t *)msg[i])->kind == MSG_PACKET) {
             on_packet(c, msg[i]);
         }
         else {
-            on_note(c, msg[i]);
+            on_control(c, msg[i]);
             msg_drop(msg[i]);
         }
         if (c->members_changed) {
-            tell_core(c);
+            update_core_members(c);
         }
     }
-    tell_core(c);
+    update_core_members(c);
     duty_wake(c->send);
     if (n == 0) {
         duty_wait(self, NULL, 0, c->tick_at - c->now);
     }
 }
 
-/* The peers that the settings name: they give a new instance members and the
- * version in force while the platform is out of reach. */
+/* Adds the peers named in the settings.  They provide a new instance with the
+ * members and the version in force while the platform is unreachable. */
 static void
-learn_seeds(decide_t *c)
+add_seed_peers(decide_t *c)
 {
     const settings_t *s = &c->d->settings;
 
@@ -350,7 +356,7 @@
     if (c->core == NULL || c->members == NULL) {
         return false;
     }
-    learn_seeds(c);
+    add_seed_peers(c);
     return true;
 }
 
@@ -364,12 +370,13 @@
     }
     c->d = daemon;
     if (!decide_open(c, self)) {
-        log_line(LVL_ERROR, "decide", "No memory for the tables.");
-        note_post(c->main, note_new(MSG_LEFT));
+        log_line(LVL_ERROR, "decide",
+                 "Out of memory: the tables can't be allocated.");
+        control_post(c->main, control_new(MSG_LEAVE_DONE));
     }
     else {
         while (!duty_stopping(self)) {
-            one_turn(c, self);
+            run_once(c, self);
         }
     }
     core_free(c->core);
--- a/siskind/decide.h
+++ b/siskind/decide.h
@@ -1,10 +1,10 @@
-/* What the files of the decide duty share; one thread runs them all. */
+/* Shared by the files of the decide duty, which all run on one thread. */
 #ifndef SISKIND_DECIDE_H
 #define SISKIND_DECIDE_H
 
 #include "siskind/siskind.h"
 
-#define UPSTREAMS_SHOWN 4096 /* at most, in one snapshot */
+#define UPSTREAMS_SHOWN 4096 /* limit of one snapshot */
 
 typedef struct {
     daemon_t *d;
@@ -12,40 +12,42 @@
     core_t *core;
     members_t *members;
     conf_t *conf; /* in force; NULL before the first */
-    ms_t conf_at; /* since when */
+    ms_t conf_at; /* when it came into force */
     port_set_t *ports;
-    ms_t ports_at; /* last tried */
+    ms_t ports_at; /* last attempt to open the sockets */
     ms_t now;
     ms_t tick_at;
-    packet_t *spare; /* an empty packet that could not be posted */
-    /* The datagram in hand, and whether it is to be sent on itself.  It is
-     * posted only when core is done with it: send may give it back at once,
-     * and receive would overwrite what core still reads. */
-    packet_t *in;
-    bool forward;
+    packet_t *unsent; /* an empty packet that could not be posted */
+    /* The received datagram that is being handled, and whether its buffer is
+     * reused for the output.  It is posted only after core returns: send may
+     * release the buffer at once, and receive would then overwrite data that
+     * core still reads. */
+    packet_t *current;
+    bool current_taken;
     bool members_changed;
-    bool alone;      /* the platform's list shows this instance and no other */
-    ms_t doubt_at;   /* as last told to core */
-    uint64_t lowest; /* the same */
+    bool listed_alone; /* the platform lists only this instance */
+    /* The values last passed to core. */
+    ms_t core_suspect_at;
+    uint64_t core_lowest_version;
     member_state_t state; /* of this instance */
-    ms_t leave_at;        /* LEAVING since */
-    ms_t leave_check_at;  /* when to look next at what is pending */
-    ms_t gone_at;         /* GONE since */
-    bool stopping;        /* it stops when nothing is pending */
-    bool left;            /* main has been told */
+    ms_t leave_at;        /* entered LEAVING */
+    ms_t leave_check_at;  /* next check for pending work */
+    ms_t gone_at;         /* entered GONE */
+    bool stopping;        /* exit once nothing is pending */
+    bool leave_reported;  /* MSG_LEAVE_DONE has been posted to main */
 } decide_t;
 
-/* life.c: from joining to leaving. */
+/* life.c: state changes of this instance. */
 void life_tick(decide_t *c);
 void life_leave(decide_t *c);
-int life_return(decide_t *c);
+int life_rejoin(decide_t *c);
 
-/* output.c: what core and members want sent. */
-void output_forward(decide_t *c, packet_t *p);
+/* output.c: output of core and members. */
+void output_current(decide_t *c, packet_t *p);
 void output_core(void *decide, const core_out_t *out);
 void output_member(void *decide, const member_out_t *out);
 
-/* view.c: answers an operator's question. */
-void view_answer(decide_t *c, ask_t *a);
+/* view.c: handles an operator's query. */
+void answer_query(decide_t *c, query_t *a);
 
 #endif
--- a/siskind/life.c
+++ b/siskind/life.c
@@ -5,18 +5,18 @@
 #include <stdlib.h>
 
 /* Without the platform's list and without any peer for so long, it serves. */
-#define ALONE_MS 10000
+#define NO_PEER_WAIT_MS 10000
 /* With a version in force for so long, it serves whatever it trusts. */
-#define WARM_MS 1500
+#define WARMUP_MAX_MS 1500
 /* Between two counts of what is pending: each looks at every flow. */
 #define LEAVE_CHECK_MS 200
 /* So long it goes on telling that it is gone, so that its silence is not
  * taken for a failure. */
-#define FAREWELL_MS 400
-#define FAREWELL_MAX_MS 2000
+#define GONE_GOSSIP_MIN_MS 400
+#define GONE_GOSSIP_MAX_MS 2000
 
 static void
-enter(decide_t *c, member_state_t state)
+enter_state(decide_t *c, member_state_t state)
 {
     c->state = state;
     c->members_changed = true;
@@ -27,15 +27,16 @@
 
 /* An instance that served before its first probes are answered would refuse
  * work for want of trusted upstreams, though all are well: callers would see
- * each restart.  An upstream that is down delays it no longer than WARM_MS. */
+ * each restart.  An upstream that is down delays it no longer than
+ * WARMUP_MAX_MS. */
 static bool
-is_warm(const decide_t *c)
+upstreams_ready(const decide_t *c)
 {
     core_upstream_t *up;
     size_t n;
     bool warm = true;
 
-    if (c->now - c->conf_at >= WARM_MS) {
+    if (c->now - c->conf_at >= WARMUP_MAX_MS) {
         return true;
     }
     up = calloc(UPSTREAMS_SHOWN, sizeof(*up));
@@ -55,13 +56,13 @@
  * nobody is there to hear: the platform's list, which lags, already shows this
  * instance, and so would show one that came before it. */
 static bool
-may_serve(const decide_t *c)
+ready_to_serve(const decide_t *c)
 {
-    if (c->conf == NULL || !members_acked(c->members) || !is_warm(c)) {
+    if (c->conf == NULL || !members_acked(c->members) || !upstreams_ready(c)) {
         return false;
     }
-    return FACT(c->d, peers) > 0 || c->alone ||
-           c->now - c->d->started >= ALONE_MS;
+    return SHARED_GET(c->d, peers) > 0 || c->listed_alone ||
+           c->now - c->d->started >= NO_PEER_WAIT_MS;
 }
 
 static ms_t
@@ -74,9 +75,9 @@
  * has shown it as leaving; they must be forwarded until then.  While the
  * platform is out of reach the list can't show it. */
 static bool
-fabric_knows(const decide_t *c)
+fabric_updated(const decide_t *c)
 {
-    ms_t listed_at = FACT(c->d, leave_listed_at);
+    ms_t listed_at = SHARED_GET(c->d, leave_listed_at);
 
     return listed_at > 0 && c->now - listed_at >= LIST_LAG_MS;
 }
@@ -94,25 +95,25 @@
     }
     c->leave_check_at = c->now + LEAVE_CHECK_MS;
     core_pending(c->core, &exchanges, &pins);
-    if (fabric_knows(c) && exchanges == 0 && pins == 0) {
+    if (fabric_updated(c) && exchanges == 0 && pins == 0) {
         return true;
     }
     if (late) {
         log_line(LVL_WARN, "life",
                  "The drain period is over. exchanges=%u pins=%u listed=%d",
-                 exchanges, pins, fabric_knows(c));
+                 exchanges, pins, fabric_updated(c));
     }
     return late;
 }
 
 /* The last word to the peers has been heard, or waited for long enough. */
 static bool
-said_farewell(const decide_t *c)
+gone_announced(const decide_t *c)
 {
     ms_t since = c->now - c->gone_at;
 
-    return since >= FAREWELL_MAX_MS ||
-           (since >= FAREWELL_MS && members_acked(c->members));
+    return since >= GONE_GOSSIP_MAX_MS ||
+           (since >= GONE_GOSSIP_MIN_MS && members_acked(c->members));
 }
 
 void
@@ -120,20 +121,20 @@
 {
     switch (c->state) {
     case MEMBER_JOINING:
-        if (may_serve(c)) {
-            enter(c, MEMBER_ACTIVE);
+        if (ready_to_serve(c)) {
+            enter_state(c, MEMBER_ACTIVE);
         }
         return;
     case MEMBER_LEAVING:
         if (c->stopping && may_stop(c)) {
             c->gone_at = c->now;
-            enter(c, MEMBER_GONE);
+            enter_state(c, MEMBER_GONE);
         }
         return;
     case MEMBER_GONE:
-        if (!c->left && said_farewell(c)) {
-            c->left = true;
-            note_post(c->main, note_new(MSG_LEFT));
+        if (!c->leave_reported && gone_announced(c)) {
+            c->leave_reported = true;
+            control_post(c->main, control_new(MSG_LEAVE_DONE));
         }
         return;
     case MEMBER_ACTIVE:
@@ -149,26 +150,26 @@
         return;
     }
     c->leave_at = c->now;
-    enter(c, MEMBER_LEAVING);
+    enter_state(c, MEMBER_LEAVING);
     core_leave(c->core, c->now);
-    FACT_SET(c->d, leaving, true);
-    note_post(c->roster, note_new(MSG_LEAVE));
+    SHARED_SET(c->d, leaving, true);
+    control_post(c->roster, control_new(MSG_LEAVE));
 }
 
 /* Back in service: it joins anew, so that no other instance takes it for a
  * home before it knows that it is one. */
 int
-life_return(decide_t *c)
+life_rejoin(decide_t *c)
 {
     if (c->stopping || c->state == MEMBER_GONE) {
         return -EBUSY;
     }
     core_stay(c->core, c->now);
     if (c->state == MEMBER_LEAVING) {
-        FACT_SET(c->d, leaving, false);
-        FACT_SET(c->d, leave_listed_at, 0);
-        enter(c, MEMBER_JOINING);
-        note_post(c->roster, note_new(MSG_LEAVE));
+        SHARED_SET(c->d, leaving, false);
+        SHARED_SET(c->d, leave_listed_at, 0);
+        enter_state(c, MEMBER_JOINING);
+        control_post(c->roster, control_new(MSG_LEAVE));
     }
     return 0;
 }
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -19,11 +19,11 @@
 /* Sizes of the inboxes.  Decide's holds 40 ms of 100,000 datagrams a second;
  * the sockets hold what comes beyond. */
 #define PACKET_INBOX 4096
-#define NOTE_INBOX 64
+#define CONTROL_INBOX 64
 /* Packets: an inbox full, and what both ends have in hand. */
 #define PACKETS (PACKET_INBOX + 256)
 
-#define STOP_MS 1500
+#define STOP_TIMEOUT_MS 1500
 
 static const duty_spec_t duties[] = {
     {.name = "main", .inbox = 4},
@@ -34,9 +34,12 @@
     {.name = "decide", .run = decide_run, .inbox = PACKET_INBOX},
     {.name = "receive",
      .run = receive_run,
-     .inbox = NOTE_INBOX,
+     .inbox = CONTROL_INBOX,
+     .one_sender = true},
+    {.name = "bulk",
+     .run = bulk_run,
+     .inbox = CONTROL_INBOX,
      .one_sender = true},
-    {.name = "bulk", .run = bulk_run, .inbox = NOTE_INBOX, .one_sender = true},
     {.name = "watch", .run = watch_run, .inbox = 4, .one_sender = true},
     {.name = "roster", .run = roster_run, .inbox = 4, .one_sender = true},
     {.name = "admin", .run = admin_run, .inbox = 4, .one_sender = true},
@@ -110,7 +113,7 @@
 
 /* Waits until a graceful leave is complete, or a second signal. */
 static void
-wait_for_end(daemon_t *d, int signals)
+wait_for_stop(daemon_t *d, int signals)
 {
     duty_t *self = kern_find(d->kern, "main");
     struct pollfd fds[2] = {[1] = {.fd = signals, .events = POLLIN}};
@@ -133,7 +136,7 @@
             return;
         }
         log_line(LVL_INFO, "main", "Draining. signal=%u", info.ssi_signo);
-        note_post(kern_find(d->kern, "decide"), note_new(MSG_LEAVE));
+        control_post(kern_find(d->kern, "decide"), control_new(MSG_LEAVE));
     }
 }
 
@@ -176,8 +179,8 @@
     }
     log_line(LVL_INFO, "main", "Started. data_centre=%s",
              d->settings.data_centre);
-    wait_for_end(d, signals);
-    rc = kern_stop(d->kern, STOP_MS);
+    wait_for_stop(d, signals);
+    rc = kern_stop(d->kern, STOP_TIMEOUT_MS);
     log_line(LVL_INFO, "main", "It has stopped.");
     if (rc == 0) {
         kern_free(d->kern);
@@ -198,7 +201,7 @@
 }
 
 static int
-with_tagged(const char *file, const char *text, bool check)
+start_tagged_mode(const char *file, const char *text, bool check)
 {
     tagged_settings_t s;
     err_t e = {0};
@@ -215,7 +218,7 @@
 }
 
 static int
-with_homes(const char *file, const char *text, bool check)
+start_owner_mode(const char *file, const char *text, bool check)
 {
     static daemon_t d;
     err_t e = {0};
@@ -239,7 +242,7 @@
 
 /* The settings' kind says which daemon this is. */
 static int
-with_settings(const char *file, bool check)
+start_from_file(const char *file, bool check)
 {
     err_t e = {0};
     char *text = conf_read_file(file, &e);
@@ -248,8 +251,8 @@
     if (text == NULL) {
         return refuse_settings(&e);
     }
-    rc = tagged_is(text) ? with_tagged(file, text, check)
-                         : with_homes(file, text, check);
+    rc = tagged_is(text) ? start_tagged_mode(file, text, check)
+                         : start_owner_mode(file, text, check);
     free(text);
     return rc;
 }
@@ -292,7 +295,7 @@
         rc = EXIT_USAGE;
     }
     else {
-        rc = with_settings(file->filename[0], check->count > 0);
+        rc = start_from_file(file->filename[0], check->count > 0);
     }
     arg_freetable(table, sizeof(table) / sizeof(table[0]));
     return rc;
--- a/siskind/message.c
+++ b/siskind/message.c
@@ -4,10 +4,10 @@
 #include <errno.h>
 #include <stdlib.h>
 
-note_t *
-note_new(msg_kind_t kind)
+control_t *
+control_new(msg_kind_t kind)
 {
-    note_t *n = calloc(1, sizeof(*n));
+    control_t *n = calloc(1, sizeof(*n));
 
     if (n != NULL) {
         n->kind = kind;
@@ -18,7 +18,7 @@
 void
 msg_drop(void *msg)
 {
-    note_t *n = msg;
+    control_t *n = msg;
 
     switch (n->kind) {
     case MSG_PACKET:
@@ -35,19 +35,19 @@
     case MSG_LIST:
         free(n->list.instance);
         break;
-    case MSG_ASK:
-        ask_release(n->ask);
+    case MSG_QUERY:
+        query_release(n->ask);
         break;
     case MSG_FETCH:
     case MSG_LEAVE:
-    case MSG_LEFT:
+    case MSG_LEAVE_DONE:
         break;
     }
     free(n);
 }
 
 int
-note_post(duty_t *to, note_t *n)
+control_post(duty_t *to, control_t *n)
 {
     int rc;
 
--- a/siskind/metrics.c
+++ b/siskind/metrics.c
@@ -58,7 +58,7 @@
 }
 
 static void
-ring_metrics(FILE *f, const daemon_t *d)
+inbox_metrics(FILE *f, const daemon_t *d)
 {
     static const char *const sock[] = {[SOCK_SERVICE] = "service",
                                        [SOCK_RETURN] = "return",
@@ -80,7 +80,8 @@
 }
 
 static void
-wait_metrics(FILE *f, const char *service, const char *class, const hist_t *h)
+wait_histogram(FILE *f, const char *service, const char *class,
+               const hist_t *h)
 {
     char labels[256];
 
@@ -154,8 +155,8 @@
     for (size_t i = 0; i < v->n_services; i++) {
         const service_view_t *s = &v->services[i];
         for (int k = 0; k < CLASS_COUNT; k++) {
-            wait_metrics(f, s->name, class_name((class_t)k),
-                         &s->stats.wait_ms[k]);
+            wait_histogram(f, s->name, class_name((class_t)k),
+                           &s->stats.wait_ms[k]);
         }
     }
 }
@@ -171,7 +172,7 @@
         return NULL;
     }
     instance_metrics(f, d, v);
-    ring_metrics(f, d);
+    inbox_metrics(f, d);
     service_metrics(f, v);
     class_metrics(f, v);
     fclose(f);
--- a/siskind/output.c
+++ b/siskind/output.c
@@ -15,9 +15,9 @@
 static packet_t *
 packet_new(decide_t *c, sock_t sock, const addr_t *remote)
 {
-    packet_t *p = c->spare;
+    packet_t *p = c->unsent;
 
-    c->spare = NULL;
+    c->unsent = NULL;
     if (p == NULL) {
         p = pool_get(c->d->out);
     }
@@ -37,35 +37,35 @@
 packet_post(decide_t *c, packet_t *p, int len)
 {
     if (len < 0) {
-        c->spare = p;
+        c->unsent = p;
         return;
     }
     p->len = (uint16_t)len;
     if (duty_put(c->send, p) < 0) {
         counter_add(&c->d->count.send_full, 1);
-        c->spare = p;
+        c->unsent = p;
     }
 }
 
 /* The datagram in hand itself, when DATA lies in it and it isn't taken yet:
  * most datagrams are sent on without a copy.  Its start is set to DATA's. */
 static packet_t *
-take_in_hand(decide_t *c, const uint8_t *data, size_t len)
+reuse_current(decide_t *c, const uint8_t *data, size_t len)
 {
-    packet_t *p = c->in;
+    packet_t *p = c->current;
 
-    if (p == NULL || c->forward || data < p->data + SPP_LEN ||
+    if (p == NULL || c->current_taken || data < p->data + SPP_LEN ||
         data + len > p->data + sizeof(p->data)) {
         return NULL;
     }
-    c->forward = true;
+    c->current_taken = true;
     p->start = (uint16_t)(data - p->data);
     p->len = (uint16_t)len;
     return p;
 }
 
 void
-output_forward(decide_t *c, packet_t *p)
+output_current(decide_t *c, packet_t *p)
 {
     if (duty_put(c->send, p) < 0) {
         counter_add(&c->d->count.send_full, 1);
@@ -77,7 +77,7 @@
 to_client(decide_t *c, const core_out_t *out)
 {
     const addr_t *to = &out->client.client;
-    packet_t *p = take_in_hand(c, out->client.data, out->client.len);
+    packet_t *p = reuse_current(c, out->client.data, out->client.len);
 
     if (p != NULL) {
         address(p, c->now, SOCK_SERVICE, to);
@@ -95,7 +95,7 @@
 
 /* Puts the proxy header into the room before the datagram. */
 static void
-put_header(packet_t *p, const spp_t *h)
+prepend_header(packet_t *p, const spp_t *h)
 {
     p->start -= SPP_LEN;
     p->len += SPP_LEN;
@@ -108,11 +108,11 @@
     sock_t sock = out->upstream.own ? SOCK_OWN : SOCK_RETURN;
     const addr_t *to = &out->upstream.upstream;
     size_t len = out->upstream.len;
-    packet_t *p = take_in_hand(c, out->upstream.data, len);
+    packet_t *p = reuse_current(c, out->upstream.data, len);
 
     if (p != NULL) {
         address(p, c->now, sock, to);
-        put_header(p, &out->upstream.header);
+        prepend_header(p, &out->upstream.header);
         return;
     }
     p = len <= PACKET_MAX ? packet_new(c, sock, to) : NULL;
@@ -121,7 +121,7 @@
     }
     memcpy(p->data + p->start, out->upstream.data, len);
     p->len = (uint16_t)len;
-    put_header(p, &out->upstream.header);
+    prepend_header(p, &out->upstream.header);
     packet_post(c, p, p->len);
 }
 
@@ -167,19 +167,19 @@
 fetch(decide_t *c, const member_out_t *out)
 {
     const member_t *from = &out->fetch.from;
-    note_t *n;
+    control_t *n;
 
-    if (out->fetch.version <= FACT(c->d, version)) {
+    if (out->fetch.version <= SHARED_GET(c->d, version)) {
         return;
     }
-    n = note_new(MSG_FETCH);
+    n = control_new(MSG_FETCH);
     if (n == NULL) {
         return;
     }
     memcpy(n->fetch.name, from->name, sizeof(n->fetch.name));
     n->fetch.bulk_addr = from->bulk_addr;
     n->fetch.version = out->fetch.version;
-    note_post(c->bulk, n);
+    control_post(c->bulk, n);
 }
 
 void
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -1,23 +1,26 @@
-/* The watch and roster duties: what the platform knows.  Its calls block, so
- * each has its own thread, client and back-off. */
+/* The watch and roster duties: they read the configuration and the list of
+ * instances from the platform.  Calls to the platform block, so each duty has
+ * its own thread, client and backoff. */
 #include "siskind/siskind.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define WATCH_MS 8000 /* a waiting read of the configuration */
-#define PEERS_FIRST_MS 1000
-#define WATCH_PAUSE_MS 200 /* between two reads, whatever came */
-#define IDLE_MS 500        /* looks again whether it should watch */
+#define WATCH_TIMEOUT_MS 8000 /* long poll of the configuration */
+#define PEERS_FIRST_WAIT_MS 1000
+#define WATCH_PAUSE_MS 200 /* between two reads, always */
+#define IDLE_MS 500        /* interval of the checks for due calls */
 #define BACKOFF_MIN_MS 200
 #define BACKOFF_MAX_MS 5000
-/* Each call counts against the platform's rates.  A watcher reads the list
- * often, so that a suspect is confirmed gone; the others have members by
- * gossip and read it only against what gossip can lose. */
+/* Intervals between reads of the list; each call counts against the platform's
+ * rate limits.  A watcher reads the list often, so that a suspect is confirmed
+ * gone.  The others learn of members by gossip, and read the list only to
+ * recover what gossip may lose. */
 #define LIST_WATCHER_MS 2000
 #define LIST_OTHER_MS 60000
-/* The list forgets an instance that has not renewed itself for some time. */
+/* The platform removes an instance that hasn't renewed its registration for
+ * some time. */
 #define RENEW_MS 2000
 
 typedef struct {
@@ -26,8 +29,8 @@
     bool down; /* an outage has been logged */
 } backoff_t;
 
-/* How long to wait after a failed call: doubling, with jitter, so that the
- * fleet does not return all at once when the platform does. */
+/* Returns the wait after a failed call: exponential backoff with jitter, so
+ * that the instances don't all call at once when the platform recovers. */
 static ms_t
 backoff_next(backoff_t *b)
 {
@@ -38,9 +41,9 @@
     return b->wait / 2 + rng_below(&b->rng, (uint32_t)b->wait / 2 + 1);
 }
 
-/* Logs where an outage starts and ends, not each failed call. */
+/* Logs the start and the end of an outage, not each failed call. */
 static void
-note_result(backoff_t *b, const char *part, int rc, const err_t *e)
+record_result(backoff_t *b, const char *part, int rc, const err_t *e)
 {
     if (rc < 0 && !b->down) {
         log_line(LVL_WARN, part,
@@ -49,7 +52,7 @@
                  e->step, e->peer, e->text);
     }
     if (rc == 0 && b->down) {
-        log_line(LVL_INFO, part, "The platform can be used again.");
+        log_line(LVL_INFO, part, "The platform is reachable again.");
     }
     b->down = rc < 0;
     if (rc == 0) {
@@ -58,11 +61,11 @@
 }
 
 int
-offer_bundle(daemon_t *d, char *json, const origin_t *o)
+offer_bundle(daemon_t *d, char *json, const bundle_source_t *o)
 {
     conf_bundle_t b = {0};
     err_t e = {0};
-    note_t *n;
+    control_t *n;
     int rc = bundle_read(&b, json, &e);
 
     if (rc < 0) {
@@ -73,12 +76,12 @@
         free(json);
         return rc;
     }
-    if (b.version <= FACT(d, version)) {
+    if (b.version <= SHARED_GET(d, version)) {
         bundle_free(&b);
         free(json);
         return -ESTALE;
     }
-    n = note_new(MSG_CONF);
+    n = control_new(MSG_CONF);
     if (n != NULL) {
         n->conf.json = json;
         n->conf.age = o->age;
@@ -100,27 +103,28 @@
         }
         return -EINVAL;
     }
-    return note_post(kern_find(d->kern, "decide"), n);
+    return control_post(kern_find(d->kern, "decide"), n);
 }
 
-/* Few instances watch; one that knows no version or no peer must.  At start
- * the peers are given time to tell theirs, with its age and those before it,
- * which the platform can't tell. */
+/* Few instances watch; one without a version or without peers always does.  At
+ * start the peers get PEERS_FIRST_WAIT_MS to send their version, because they
+ * also send its age and the versions before it, which the platform can't. */
 static bool
 should_watch(const daemon_t *d)
 {
-    if (FACT(d, version) == 0 && d->settings.n_peers > 0 &&
-        clock_now() - d->started < PEERS_FIRST_MS) {
+    if (SHARED_GET(d, version) == 0 && d->settings.n_peers > 0 &&
+        clock_now() - d->started < PEERS_FIRST_WAIT_MS) {
         return false;
     }
-    return FACT(d, watches) || FACT(d, version) == 0 || FACT(d, peers) == 0;
+    return SHARED_GET(d, watches) || SHARED_GET(d, version) == 0 ||
+           SHARED_GET(d, peers) == 0;
 }
 
-/* Offers a bundle that was read from the platform. */
+/* Offers a bundle read from the platform. */
 static int
 offer_read(daemon_t *d, const conf_bundle_t *b, bool first, err_t *e)
 {
-    origin_t o = {
+    bundle_source_t o = {
         .part = "watch", .from = d->settings.platform_url, .first = first};
     char *json = bundle_write(b);
 
@@ -132,16 +136,16 @@
     return 0;
 }
 
-/* An instance that starts without a peer must still know which upstreams may
- * hold requests that others forwarded by the version before.  How long ago
- * that ended isn't known: it counts as just now. */
+/* Offers the version before VERSION to an instance that starts without a peer:
+ * upstreams may hold requests that others forwarded under it.  When it was
+ * replaced isn't known; the age is taken as 0. */
 static void
 offer_previous(daemon_t *d, plat_t *p, uint64_t version)
 {
     conf_bundle_t b = {0};
     err_t e = {0};
 
-    if (FACT(d, version) != 0 || version < 2 ||
+    if (SHARED_GET(d, version) != 0 || version < 2 ||
         plat_history(p, version - 1, &b, &e) < 0) {
         return;
     }
@@ -149,14 +153,15 @@
     bundle_free(&b);
 }
 
-/* A value of the configuration's key, with the parts that it names. */
+/* Reads the parts that the configuration's head names and offers the bundle.
+ */
 static int
 offer_head(daemon_t *d, plat_t *p, const char *head, err_t *e)
 {
     conf_bundle_t b;
     int rc = plat_expand(p, head, &b, e);
 
-    if (rc == -EBADMSG) { /* it stays so: no use in reading it again */
+    if (rc == -EBADMSG) { /* permanent: reading again won't help */
         log_line(LVL_WARN, "watch",
                  "A configuration is refused. from=%s step=\"%s\" "
                  "error=\"%s\"",
@@ -172,24 +177,24 @@
     return rc;
 }
 
-/* One waiting read; returns how long to pause before the next. */
+/* Makes one long poll; returns the pause before the next. */
 static ms_t
 watch_once(daemon_t *d, plat_t *p, uint64_t *revision, backoff_t *b)
 {
     char *json = NULL;
     uint64_t got = 0;
     err_t e = {0};
-    int rc =
-        plat_get(p, PLAT_CONFIG_KEY, WATCH_MS, *revision, &json, &got, &e);
+    int rc = plat_get(p, PLAT_CONFIG_KEY, WATCH_TIMEOUT_MS, *revision, &json,
+                      &got, &e);
 
-    /* A stale read has a lower revision.  It is kept as it came: the next
-     * read then returns at once, and versions never fall.  A head whose parts
+    /* A stale read has a lower revision, which is kept: the next read then
+     * returns at once, and decide rejects lower versions.  A head whose parts
      * couldn't be read is read again. */
     if (rc == 0 && json != NULL && got != *revision) {
         rc = offer_head(d, p, json, &e);
     }
     free(json);
-    note_result(b, "watch", rc, &e);
+    record_result(b, "watch", rc, &e);
     if (rc < 0) {
         return backoff_next(b);
     }
@@ -217,11 +222,11 @@
 }
 
 static void
-describe(const daemon_t *d, plat_instance_t *i)
+describe_self(const daemon_t *d, plat_instance_t *i)
 {
     const settings_t *s = &d->settings;
 
-    *i = (plat_instance_t){.leaving = FACT(d, leaving),
+    *i = (plat_instance_t){.leaving = SHARED_GET(d, leaving),
                            .return_addr = s->return_addr,
                            .peer_addr = s->peer_addr,
                            .bulk_addr = s->bulk_addr};
@@ -231,18 +236,18 @@
 }
 
 static int
-renew(const daemon_t *d, plat_t *p, err_t *e)
+renew_registration(const daemon_t *d, plat_t *p, err_t *e)
 {
     plat_instance_t me;
 
-    describe(d, &me);
+    describe_self(d, &me);
     return plat_register(p, &me, e);
 }
 
 static int
 read_list(const daemon_t *d, plat_t *p, err_t *e)
 {
-    note_t *n = note_new(MSG_LIST);
+    control_t *n = control_new(MSG_LIST);
     int rc;
 
     if (n == NULL) {
@@ -259,15 +264,16 @@
         msg_drop(n);
         return rc;
     }
-    note_post(kern_find(d->kern, "decide"), n);
+    control_post(kern_find(d->kern, "decide"), n);
     return 0;
 }
 
 static ms_t
 list_period(const daemon_t *d)
 {
-    return FACT(d, watches) || FACT(d, peers) == 0 ? LIST_WATCHER_MS
-                                                   : LIST_OTHER_MS;
+    return SHARED_GET(d, watches) || SHARED_GET(d, peers) == 0
+               ? LIST_WATCHER_MS
+               : LIST_OTHER_MS;
 }
 
 typedef struct {
@@ -277,21 +283,21 @@
     bool leaving; /* as last registered */
 } roster_t;
 
-/* Makes the calls that are due; returns how long to pause. */
+/* Makes the calls that are due; returns the pause before the next check. */
 static ms_t
 roster_once(daemon_t *d, roster_t *r)
 {
     err_t e = {0};
     ms_t now = clock_now();
     int rc = 0;
-    bool leaving = FACT(d, leaving);
+    bool leaving = SHARED_GET(d, leaving);
 
     if (now - r->renewed_at >= RENEW_MS || leaving != r->leaving) {
-        rc = renew(d, r->plat, &e);
+        rc = renew_registration(d, r->plat, &e);
         if (rc == 0) {
             r->renewed_at = now;
             if (leaving && !r->leaving) {
-                FACT_SET(d, leave_listed_at, now);
+                SHARED_SET(d, leave_listed_at, now);
             }
             r->leaving = leaving;
         }
@@ -302,13 +308,14 @@
             r->read_at = now;
         }
     }
-    note_result(&r->backoff, "roster", rc, &e);
+    record_result(&r->backoff, "roster", rc, &e);
     return rc < 0 ? backoff_next(&r->backoff) : IDLE_MS;
 }
 
-/* The inbox only wakes it: what it has to do stands in the facts. */
+/* Messages only wake this duty; the work to do follows from the shared state.
+ */
 static void
-empty_inbox(duty_t *self)
+drain_inbox(duty_t *self)
 {
     void *msg;
 
@@ -328,7 +335,7 @@
                   .read_at = -LIST_OTHER_MS};
 
     while (r.plat != NULL && !duty_stopping(self)) {
-        empty_inbox(self);
+        drain_inbox(self);
         ms_t pause = roster_once(d, &r);
         counter_set(&d->count.roster_calls, plat_calls(r.plat));
         duty_wait(self, NULL, 0, pause);
--- a/siskind/ports.c
+++ b/siskind/ports.c
@@ -86,7 +86,7 @@
 }
 
 port_set_t *
-ports_hold(port_set_t *p)
+ports_retain(port_set_t *p)
 {
     __atomic_add_fetch(&p->refs, 1, __ATOMIC_ACQ_REL);
     return p;
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -1,4 +1,4 @@
-/* The receive duty: datagrams from all sockets to decide's inbox. */
+/* The receive duty: passes datagrams from all sockets to decide's inbox. */
 #include "siskind/siskind.h"
 
 #include <errno.h>
@@ -11,34 +11,35 @@
 
 #define EVENTS_MAX 64
 #define INBOX_BATCH 16
-/* Batches read of one socket before the others have their turn. */
-#define TURNS 4
-#define GATHER_US 200 /* at the least between two turns */
+/* Batches read from one socket before the next socket is served. */
+#define BATCHES_PER_SOCKET 4
+#define COALESCE_US 200 /* minimum interval between two runs of the loop */
 
 typedef struct {
     daemon_t *d;
     duty_t *decide;
     int epoll;
-    int64_t turn_us; /* when the last turn began */
+    int64_t turn_started_us; /* start of the last run */
     port_set_t *ports;
-    packet_t *hand[BATCH]; /* empty packets, to be filled by the next read */
+    packet_t *buffer[BATCH]; /* empty packets for the next read */
     struct mmsghdr msgs[BATCH];
     struct iovec iov[BATCH];
     struct sockaddr_storage remote[BATCH];
     char control[BATCH][UDP_STAMP_LEN];
 } receive_t;
 
-/* What epoll hands back: a fixed socket or a service's. */
+/* The socket of an epoll event: a fixed one or a service's. */
 typedef struct {
     sock_t sock;
     int fd;
     const port_t *port;
 } source_t;
 
-/* Sheds callers' datagrams when a quarter of the inbox is left: upstreams'
- * answers and peers' messages finish work that is under way, and come first.
- * Shed silently, as the network would: "not run" can't be said of a request of
- * which another copy may have been forwarded. */
+/* False when decide's inbox has no room for a datagram of this socket.
+ * Callers' datagrams are shed when only a quarter of the inbox is left:
+ * upstreams' answers and peers' messages complete work in progress and take
+ * precedence. Datagrams are dropped silently, as by the network: a "not run"
+ * answer would be wrong if another copy of the request has been forwarded. */
 static bool
 has_room(const receive_t *r, sock_t sock)
 {
@@ -53,7 +54,7 @@
 static void
 prepare(receive_t *r, int i)
 {
-    r->iov[i] = (struct iovec){.iov_base = r->hand[i]->data + SPP_LEN,
+    r->iov[i] = (struct iovec){.iov_base = r->buffer[i]->data + SPP_LEN,
                                .iov_len = PACKET_MAX};
     r->msgs[i].msg_hdr =
         (struct msghdr){.msg_name = &r->remote[i],
@@ -64,18 +65,18 @@
                         .msg_controllen = sizeof(r->control[i])};
 }
 
-/* Fills the empty places of the hand.  The pool holds more than the inbox and
- * both duties' hands, so it is never empty here. */
+/* Refills the buffers for the next read.  The pool holds more packets than the
+ * inbox and the buffers of both duties together, so it is never empty here. */
 static int
 refill(receive_t *r)
 {
     int n = 0;
 
     while (n < BATCH) {
-        if (r->hand[n] == NULL) {
-            r->hand[n] = pool_get(r->d->in);
+        if (r->buffer[n] == NULL) {
+            r->buffer[n] = pool_get(r->d->in);
         }
-        if (r->hand[n] == NULL) {
+        if (r->buffer[n] == NULL) {
             break;
         }
         prepare(r, n);
@@ -84,12 +85,12 @@
     return n;
 }
 
-/* Posts packet I of the hand, or leaves it there to be used again. */
+/* Posts the packet in buffer I, or keeps it for the next read. */
 static void
-pass_on(receive_t *r, const source_t *s, int i, ms_t now, ms_t real_now)
+post_packet(receive_t *r, const source_t *s, int i, ms_t now, ms_t real_now)
 {
     counters_t *count = &r->d->count;
-    packet_t *p = r->hand[i];
+    packet_t *p = r->buffer[i];
 
     if (r->msgs[i].msg_hdr.msg_flags & MSG_TRUNC) {
         counter_add(&count->too_long, 1);
@@ -111,10 +112,10 @@
         counter_add(&count->shed[s->sock], 1);
         return;
     }
-    r->hand[i] = NULL;
+    r->buffer[i] = NULL;
 }
 
-/* Reads one batch; returns how many datagrams there were. */
+/* Reads one batch; returns the number of datagrams. */
 static int
 read_batch(receive_t *r, const source_t *s)
 {
@@ -129,7 +130,7 @@
     real_now = clock_wall();
     now = clock_now();
     for (int i = 0; i < n; i++) {
-        pass_on(r, s, i, now, real_now);
+        post_packet(r, s, i, now, real_now);
     }
     counter_add(&r->d->count.received, (uint64_t)n);
     duty_wake(r->decide);
@@ -139,7 +140,7 @@
 static void
 read_socket(receive_t *r, const source_t *s)
 {
-    for (int turn = 0; turn < TURNS; turn++) {
+    for (int turn = 0; turn < BATCHES_PER_SOCKET; turn++) {
         if (read_batch(r, s) < BATCH) {
             return;
         }
@@ -157,13 +158,14 @@
     }
 }
 
-/* Tags of the fixed descriptors; a service's is TAG_PORT plus its index. */
+/* Tags of the fixed descriptors; a service's tag is TAG_PORT plus its index.
+ */
 enum { TAG_WAKE, TAG_RETURN, TAG_OWN, TAG_PEER, TAG_PORT };
 
-/* Takes the sockets of a newer configuration.  Those that stay keep what lies
- * unread in them. */
+/* Switches to the sockets of a newer configuration.  Unread datagrams of
+ * sockets in both sets are kept. */
 static void
-take_ports(receive_t *r, port_set_t *ports)
+replace_ports(receive_t *r, port_set_t *ports)
 {
     for (size_t i = 0; r->ports != NULL && i < r->ports->n; i++) {
         epoll_ctl(r->epoll, EPOLL_CTL_DEL, r->ports->port[i]->fd, NULL);
@@ -182,9 +184,9 @@
     size_t n = duty_take(self, msg, INBOX_BATCH);
 
     for (size_t i = 0; i < n; i++) {
-        note_t *note = msg[i];
+        control_t *note = msg[i];
         if (note->kind == MSG_PORTS) {
-            take_ports(r, note->ports);
+            replace_ports(r, note->ports);
             note->ports = NULL;
         }
         msg_drop(note);
@@ -227,13 +229,13 @@
     return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-/* Lets datagrams gather, as network cards do, so that under load each wake-up
- * of the three threads serves many.  A datagram that comes alone isn't held
- * up. */
+/* Delays reading to coalesce datagrams, as network cards do with interrupts,
+ * so that under load each wake-up of the three threads serves many.  A
+ * datagram that arrives alone isn't delayed. */
 static void
-gather(receive_t *r)
+coalesce(receive_t *r)
 {
-    int64_t left = r->turn_us + GATHER_US - now_us();
+    int64_t left = r->turn_started_us + COALESCE_US - now_us();
 
     if (left > 0) {
         struct timespec ts = {.tv_nsec = left * 1000};
@@ -242,19 +244,19 @@
 }
 
 static void
-one_turn(duty_t *self, receive_t *r)
+run_once(duty_t *self, receive_t *r)
 {
     struct epoll_event ev[EVENTS_MAX];
     int n;
 
-    gather(r);
+    coalesce(r);
     n = epoll_wait(r->epoll, ev, EVENTS_MAX, duty_sleep(self) ? 1000 : 0);
     duty_awake(self);
-    r->turn_us = now_us();
+    r->turn_started_us = now_us();
     for (int i = 0; i < n; i++) {
         on_event(r, ev[i].data.u64);
     }
-    /* After the events: they name sockets of the set they were made with. */
+    /* After the events, whose tags index the present set of sockets. */
     read_inbox(self, r);
 }
 
@@ -274,7 +276,7 @@
     watch_fd(r, r->d->own_fd, TAG_OWN);
     watch_fd(r, r->d->peer_fd, TAG_PEER);
     while (!duty_stopping(self)) {
-        one_turn(self, r);
+        run_once(self, r);
     }
     ports_release(r->ports);
     close(r->epoll);
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -39,7 +39,7 @@
  * would run again what an upstream of those still holds; not told, it stays in
  * doubt for DOUBT_MS. */
 static bool
-has_all(const versions_t *v, ms_t now)
+history_is_complete(const versions_t *v, ms_t now)
 {
     return !v->dropped || now - v->first.at >= DOUBT_MS;
 }
@@ -59,7 +59,7 @@
     }
     len = snprintf(head, sizeof(head), "FROM %llu %d",
                    (unsigned long long)(whole ? 0 : have),
-                   whole && complete && has_all(v, now));
+                   whole && complete && history_is_complete(v, now));
     sent = rc = send_frame(socket, head, (size_t)len, true);
     for (size_t i = 0; rc >= 0 && i < n; i++) {
         rc = send_step(socket, step[i], now, i + 1 == n);
@@ -126,7 +126,7 @@
 
 static int
 receive_steps(void *socket, const blob_t *old, bool complete,
-              reply_take_t *take, void *arg)
+              reply_version_fn_t *on_version, void *arg)
 {
     blob_t text = {0};
     ms_t age = 0;
@@ -137,7 +137,7 @@
             i <= STEPS_MAX ? receive_step(socket, old, &text, &age) : -EBADMSG;
         old = &text;
         if (rc == 0) {
-            take(arg, &text, age, complete);
+            on_version(arg, &text, age, complete);
         }
     }
     blob_free(&text);
@@ -145,7 +145,8 @@
 }
 
 int
-reply_receive(void *socket, const versions_t *v, reply_take_t *take, void *arg)
+reply_receive(void *socket, const versions_t *v,
+              reply_version_fn_t *on_version, void *arg)
 {
     static const blob_t nothing;
     unsigned long long from;
@@ -161,10 +162,10 @@
         return -EBADMSG;
     }
     if (from == 0) {
-        return receive_steps(socket, &nothing, complete != 0, take, arg);
+        return receive_steps(socket, &nothing, complete != 0, on_version, arg);
     }
     if (from != v->version) {
         return -ESTALE; /* a version came by another way meanwhile */
     }
-    return receive_steps(socket, &v->json, false, take, arg);
+    return receive_steps(socket, &v->json, false, on_version, arg);
 }
--- a/siskind/reply.h
+++ b/siskind/reply.h
@@ -17,12 +17,12 @@
                bool complete);
 
 /* Takes each version's JSON, oldest first; TEXT is the caller's. */
-typedef void reply_take_t(void *arg, const blob_t *text, ms_t age,
-                          bool complete);
+typedef void reply_version_fn_t(void *arg, const blob_t *text, ms_t age,
+                                bool complete);
 /* Receives one.  -ENODATA: nothing newer.
  * -ESTALE: it leads from what V had when it was asked for.  -EBADMSG: frames
  * or differences don't fit what V has; ask for all. */
-int reply_receive(void *socket, const versions_t *v, reply_take_t *take,
-                  void *arg);
+int reply_receive(void *socket, const versions_t *v,
+                  reply_version_fn_t *on_version, void *arg);
 
 #endif
--- a/siskind/send.c
+++ b/siskind/send.c
@@ -1,21 +1,21 @@
-/* The send duty: decided datagrams to the sockets, in batches. */
+/* The send duty: sends decide's datagrams through the sockets, in batches. */
 #include "siskind/siskind.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <sys/socket.h>
 
-#define TAKE 64 /* messages taken at once */
+#define MSGS_PER_TURN 64 /* messages taken from the inbox at once */
 
 typedef struct {
     daemon_t *d;
     port_set_t *ports;
     size_t n;
-    packet_t *packet[TAKE];
-    int fd[TAKE]; /* of the same packet; -1: done */
-    struct mmsghdr msgs[TAKE];
-    struct iovec iov[TAKE];
-    struct sockaddr_storage remote[TAKE];
+    packet_t *packet[MSGS_PER_TURN];
+    int fd[MSGS_PER_TURN]; /* socket of the same packet; -1: done */
+    struct mmsghdr msgs[MSGS_PER_TURN];
+    struct iovec iov[MSGS_PER_TURN];
+    struct sockaddr_storage remote[MSGS_PER_TURN];
 } send_t;
 
 static int
@@ -37,7 +37,7 @@
     return -1;
 }
 
-/* Sends MSGS[0..N-1]; a datagram that the kernel refuses is skipped. */
+/* Sends MSGS[0..N-1]; skips datagrams that the kernel refuses. */
 static void
 send_all(send_t *s, int fd, unsigned n)
 {
@@ -57,7 +57,7 @@
     }
 }
 
-/* Sends all packets from FIRST on that leave by the same socket, in order. */
+/* Sends, in order, all packets from FIRST on that use the same socket. */
 static void
 send_by_socket(send_t *s, size_t first)
 {
@@ -117,10 +117,10 @@
 }
 
 static void
-take_note(send_t *s, note_t *note)
+handle_control(send_t *s, control_t *note)
 {
     if (note->kind == MSG_PORTS) {
-        send_packets(s); /* they name sockets of the old set */
+        send_packets(s); /* their descriptors are of the old set */
         ports_release(s->ports);
         s->ports = note->ports;
         note->ports = NULL;
@@ -132,25 +132,25 @@
 send_run(duty_t *self, void *daemon)
 {
     send_t *s = calloc(1, sizeof(*s));
-    void *msg[TAKE];
+    void *msg[MSGS_PER_TURN];
 
     if (s == NULL) {
         return;
     }
     s->d = daemon;
     while (!duty_stopping(self)) {
-        size_t n = duty_take(self, msg, TAKE);
+        size_t n = duty_take(self, msg, MSGS_PER_TURN);
         if (n == 0) {
             duty_wait(self, NULL, 0, 1000);
             continue;
         }
         ms_t now = clock_now();
         for (size_t i = 0; i < n; i++) {
-            if (((note_t *)msg[i])->kind == MSG_PACKET) {
+            if (((control_t *)msg[i])->kind == MSG_PACKET) {
                 add_packet(s, msg[i], now);
             }
             else {
-                take_note(s, msg[i]);
+                handle_control(s, msg[i]);
             }
         }
         send_packets(s);
--- a/siskind/view.c
+++ b/siskind/view.c
@@ -49,11 +49,11 @@
     return "unknown";
 }
 
-ask_t *
-ask_new(ask_kind_t kind)
+query_t *
+query_new(query_kind_t kind)
 {
     pthread_condattr_t attr;
-    ask_t *a = calloc(1, sizeof(*a));
+    query_t *a = calloc(1, sizeof(*a));
 
     if (a == NULL) {
         return NULL;
@@ -69,7 +69,7 @@
 }
 
 void
-ask_release(ask_t *a)
+query_release(query_t *a)
 {
     if (__atomic_sub_fetch(&a->refs, 1, __ATOMIC_ACQ_REL) > 0) {
         return;
@@ -83,7 +83,7 @@
 }
 
 void
-ask_done(ask_t *a)
+query_done(query_t *a)
 {
     pthread_mutex_lock(&a->lock);
     a->done = true;
@@ -92,7 +92,7 @@
 }
 
 int
-ask_wait(ask_t *a, ms_t ms)
+query_wait(query_t *a, ms_t ms)
 {
     struct timespec until;
     bool done;
@@ -157,18 +157,18 @@
 }
 
 void
-view_answer(decide_t *c, ask_t *a)
+answer_query(decide_t *c, query_t *a)
 {
     switch (a->kind) {
-    case ASK_STATUS:
+    case QUERY_STATUS:
         break;
-    case ASK_DRAIN:
+    case QUERY_DRAIN:
         life_leave(c);
         break;
-    case ASK_UNDRAIN:
-        a->rc = life_return(c);
+    case QUERY_UNDRAIN:
+        a->rc = life_rejoin(c);
         break;
     }
     view_fill(c, &a->view);
-    ask_done(a);
+    query_done(a);
 }
