--- a/siskind/admin.c
+++ b/siskind/admin.c
@@ -1,5 +1,5 @@
 /* The admin duty: HTTP for operators (libmicrohttpd), on a loopback address.
- * Each answer is made from a snapshot that the decide duty gives. */
+ * Each answer is formatted from a snapshot made by the decide duty. */
 #include "kern/reply.h"
 #include "siskind/siskind.h"
 
@@ -22,7 +22,7 @@
     return http_reply(c, status, JSON, strdup(text));
 }
 
-/* Asks decide, and waits a bounded time. */
+/* Sends a query to decide and waits for at most QUERY_TIMEOUT_MS. */
 static query_t *
 query_decide(const daemon_t *d, query_kind_t kind)
 {
@@ -37,7 +37,7 @@
         }
         return NULL;
     }
-    n->ask = a;
+    n->query = a;
     if (control_post(kern_find(d->kern, "decide"), n) < 0 ||
         query_wait(a, QUERY_TIMEOUT_MS) < 0) {
         query_release(a);
@@ -50,7 +50,7 @@
 
 typedef struct {
     const char *method, *path;
-    query_kind_t ask;
+    query_kind_t query;
     page_t page;
 } route_t;
 
@@ -65,7 +65,7 @@
 static enum MHD_Result
 answer(struct MHD_Connection *c, const daemon_t *d, const route_t *route)
 {
-    query_t *a = query_decide(d, route->ask);
+    query_t *a = query_decide(d, route->query);
     enum MHD_Result rc = MHD_NO;
 
     if (a == NULL) {
@@ -97,7 +97,7 @@
            const char *method, const char *version, const char *body,
            size_t *body_len, void **state)
 {
-    bool known = false;
+    bool path_found = false;
 
     (void)version;
     (void)body;
@@ -111,13 +111,14 @@
         if (strcmp(method, routes[i].method) == 0) {
             return answer(c, arg, &routes[i]);
         }
-        known = true;
+        path_found = true;
     }
-    return known ? fail(c, MHD_HTTP_METHOD_NOT_ALLOWED,
-                        "{\"error\":\"another method is expected\"}\n")
-                 : fail(c, MHD_HTTP_NOT_FOUND,
-                        "{\"error\":\"expected /metrics, /status, /flows, "
-                        "/drain or /undrain\"}\n");
+    return path_found
+               ? fail(c, MHD_HTTP_METHOD_NOT_ALLOWED,
+                      "{\"error\":\"another method is expected\"}\n")
+               : fail(c, MHD_HTTP_NOT_FOUND,
+                      "{\"error\":\"expected /metrics, /status, /flows, "
+                      "/drain or /undrain\"}\n");
 }
 
 void
@@ -138,7 +139,7 @@
         (struct sockaddr *)&ss, MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX,
         MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S, MHD_OPTION_END);
     if (http == NULL) {
-        log_line(LVL_ERROR, "admin", "It can't listen. peer=%s error=\"%s\"",
+        log_line(LVL_ERROR, "admin", "Can't listen. peer=%s error=\"%s\"",
                  addr_text(&d->settings.admin_addr, text), strerror(errno));
         return;
     }
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -212,7 +212,7 @@
         on_list(c, n);
         break;
     case MSG_QUERY:
-        answer_query(c, n->ask);
+        answer_query(c, n->query);
         break;
     case MSG_LEAVE:
         c->stopping = true;
--- a/siskind/life.c
+++ b/siskind/life.c
@@ -1,17 +1,19 @@
-/* The instance's own life: it joins, serves, leaves. */
+/* State changes of this instance: joining, serving, leaving. */
 #include "siskind/decide.h"
 
 #include <errno.h>
 #include <stdlib.h>
 
-/* Without the platform's list and without any peer for so long, it serves. */
+/* A joining instance without peers serves after this time, even if the
+ * platform's list can't be read. */
 #define NO_PEER_WAIT_MS 10000
-/* With a version in force for so long, it serves whatever it trusts. */
+/* A joining instance serves once a version has been in force for this time,
+ * even if upstreams have no identity lease yet. */
 #define WARMUP_MAX_MS 1500
-/* Between two counts of what is pending: each looks at every flow. */
+/* Interval between counts of pending work; each count scans every flow. */
 #define LEAVE_CHECK_MS 200
-/* So long it goes on telling that it is gone, so that its silence is not
- * taken for a failure. */
+/* Minimum and maximum time for which GONE is announced to peers, so that they
+ * don't take the following silence for a failure. */
 #define GONE_GOSSIP_MIN_MS 400
 #define GONE_GOSSIP_MAX_MS 2000
 
@@ -25,16 +27,17 @@
              state_name(state));
 }
 
-/* An instance that served before its first probes are answered would refuse
- * work for want of trusted upstreams, though all are well: callers would see
- * each restart.  An upstream that is down delays it no longer than
- * WARMUP_MAX_MS. */
+/* True when every upstream has an identity lease, or WARMUP_MAX_MS have
+ * passed. An instance that served before its first probes are answered would
+ * refuse work for lack of verified upstreams although all are healthy, and
+ * callers would notice each restart.  The limit keeps an upstream that is down
+ * from delaying the start further. */
 static bool
 upstreams_ready(const decide_t *c)
 {
     core_upstream_t *up;
     size_t n;
-    bool warm = true;
+    bool ready = true;
 
     if (c->now - c->conf_at >= WARMUP_MAX_MS) {
         return true;
@@ -45,16 +48,17 @@
     }
     n = core_upstreams(c->core, up, UPSTREAMS_SHOWN);
     for (size_t i = 0; i < n; i++) {
-        warm = warm && up[i].trusted;
+        ready = ready && up[i].trusted;
     }
     free(up);
-    return warm;
+    return ready;
 }
 
-/* A new instance that decided before the others know of it would be a second
- * home beside the old one.  So it waits until all have heard of it, or until
- * nobody is there to hear: the platform's list, which lags, already shows this
- * instance, and so would show one that came before it. */
+/* A new instance that decided before the others learn of it would be a second
+ * owner beside the old one.  It therefore waits until all members have
+ * acknowledged its state, or until no other instance can exist: the platform's
+ * list, which lags, already shows this instance, and would also show any that
+ * started earlier. */
 static bool
 ready_to_serve(const decide_t *c)
 {
@@ -71,9 +75,10 @@
     return c->conf != NULL ? c->conf->drain_ms : DRAIN_MS;
 }
 
-/* The fabric hands callers' datagrams to this instance until the lagging list
- * has shown it as leaving; they must be forwarded until then.  While the
- * platform is out of reach the list can't show it. */
+/* True when the fabric no longer sends callers' datagrams to this instance. It
+ * does so until its lagging list shows the instance as leaving, and until then
+ * they must be forwarded.  While the platform is unreachable, the list can't
+ * show it. */
 static bool
 fabric_updated(const decide_t *c)
 {
@@ -82,8 +87,8 @@
     return listed_at > 0 && c->now - listed_at >= LIST_LAG_MS;
 }
 
-/* It stays until the fabric knows, its requests are answered and its pins are
- * handed over; but no longer than the operators' drain period. */
+/* True when the fabric is updated, all requests are answered and all pins are
+ * handed over, or the operators' drain period is over. */
 static bool
 may_stop(decide_t *c)
 {
@@ -106,7 +111,8 @@
     return late;
 }
 
-/* The last word to the peers has been heard, or waited for long enough. */
+/* True when the peers have acknowledged GONE, or GONE_GOSSIP_MAX_MS have
+ * passed. */
 static bool
 gone_announced(const decide_t *c)
 {
@@ -156,8 +162,8 @@
     control_post(c->roster, control_new(MSG_LEAVE));
 }
 
-/* Back in service: it joins anew, so that no other instance takes it for a
- * home before it knows that it is one. */
+/* Returns to service through JOINING, so that no other instance treats this
+ * one as an owner before it considers itself one. */
 int
 life_rejoin(decide_t *c)
 {
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -1,4 +1,4 @@
-/* siskind: the load balancer's daemon.  Options, start, signals, stop. */
+/* siskind, the load balancer's daemon: options, start, signals and stop. */
 #include "siskind/siskind.h"
 #include "tagged/tagged.h"
 
@@ -17,10 +17,11 @@
 enum { EXIT_OK, EXIT_FAILED, EXIT_USAGE };
 
 /* Sizes of the inboxes.  Decide's holds 40 ms of 100,000 datagrams a second;
- * the sockets hold what comes beyond. */
+ * the sockets' buffers hold any excess. */
 #define PACKET_INBOX 4096
 #define CONTROL_INBOX 64
-/* Packets: an inbox full, and what both ends have in hand. */
+/* Packets of a pool: a full inbox, and the buffers of the duties at both ends.
+ */
 #define PACKETS (PACKET_INBOX + 256)
 
 #define STOP_TIMEOUT_MS 1500
@@ -95,8 +96,8 @@
     return 0;
 }
 
-/* A descriptor that tells of signals; set up before any thread starts, so
- * that all threads inherit the mask. */
+/* Returns a signalfd.  Called before any thread starts, so that all threads
+ * inherit the signal mask. */
 static int
 open_signals(void)
 {
@@ -111,7 +112,7 @@
     return signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
-/* Waits until a graceful leave is complete, or a second signal. */
+/* Waits for the end of a graceful leave or for a second signal. */
 static void
 wait_for_stop(daemon_t *d, int signals)
 {
@@ -174,21 +175,22 @@
     }
     rc = kern_start(d->kern);
     if (rc < 0) {
-        log_line(LVL_ERROR, "main", "No threads. error=\"%s\"", strerror(-rc));
+        log_line(LVL_ERROR, "main", "Can't start the threads. error=\"%s\"",
+                 strerror(-rc));
         return EXIT_FAILED;
     }
     log_line(LVL_INFO, "main", "Started. data_centre=%s",
              d->settings.data_centre);
     wait_for_stop(d, signals);
     rc = kern_stop(d->kern, STOP_TIMEOUT_MS);
-    log_line(LVL_INFO, "main", "It has stopped.");
+    log_line(LVL_INFO, "main", "Stopped.");
     if (rc == 0) {
         kern_free(d->kern);
         pool_free(d->in);
         pool_free(d->out);
     }
-    /* Else a call to the platform still blocks: the process ends without it,
-     * and frees nothing that the thread may yet use. */
+    /* On failure a thread still blocks in a call to the platform: exit without
+     * waiting, and don't free what the thread may still use. */
     log_close();
     return EXIT_OK;
 }
@@ -240,7 +242,7 @@
     return run(&d);
 }
 
-/* The settings' kind says which daemon this is. */
+/* Starts the mode of operation that the kind of the settings selects. */
 static int
 start_from_file(const char *file, bool check)
 {
--- a/siskind/message.c
+++ b/siskind/message.c
@@ -1,4 +1,4 @@
-/* Messages between duties: made, posted, dropped. */
+/* Allocates, posts and frees messages between duties. */
 #include "siskind/siskind.h"
 
 #include <errno.h>
@@ -36,7 +36,7 @@
         free(n->list.instance);
         break;
     case MSG_QUERY:
-        query_release(n->ask);
+        query_release(n->query);
         break;
     case MSG_FETCH:
     case MSG_LEAVE:
--- a/siskind/metrics.c
+++ b/siskind/metrics.c
@@ -1,4 +1,4 @@
-/* /metrics: counters and histograms as Prometheus text. */
+/* /metrics: formats counters and histograms as Prometheus text. */
 #include "siskind/siskind.h"
 
 #include <stdio.h>
@@ -90,7 +90,7 @@
     hist_print(f, "siskin_wait_milliseconds", labels, h);
 }
 
-/* The plain counters of a service, by name. */
+/* Unlabelled counters of a service.  The field's name is the metric's name. */
 static const struct {
     const char *name;
     size_t offset;
--- a/siskind/output.c
+++ b/siskind/output.c
@@ -1,11 +1,11 @@
-/* What core and members want sent becomes packets for the send duty. */
+/* Turns the output of core and members into packets for the send duty. */
 #include "siskind/decide.h"
 
 #include <errno.h>
 #include <string.h>
 
 static void
-address(packet_t *p, ms_t now, sock_t sock, const addr_t *remote)
+set_destination(packet_t *p, ms_t now, sock_t sock, const addr_t *remote)
 {
     p->sock = sock;
     p->at = now;
@@ -28,11 +28,11 @@
     p->kind = MSG_PACKET;
     p->pool = c->d->out;
     p->start = SPP_LEN;
-    address(p, c->now, sock, remote);
+    set_destination(p, c->now, sock, remote);
     return p;
 }
 
-/* A packet that is not posted is kept for the next. */
+/* Keeps a packet that can't be posted for the next output. */
 static void
 packet_post(decide_t *c, packet_t *p, int len)
 {
@@ -47,8 +47,9 @@
     }
 }
 
-/* The datagram in hand itself, when DATA lies in it and it isn't taken yet:
- * most datagrams are sent on without a copy.  Its start is set to DATA's. */
+/* Returns the current packet, with its start set to DATA, if DATA lies in it
+ * and it isn't taken yet; else NULL.  Most datagrams are thus sent without a
+ * copy. */
 static packet_t *
 reuse_current(decide_t *c, const uint8_t *data, size_t len)
 {
@@ -80,7 +81,7 @@
     packet_t *p = reuse_current(c, out->client.data, out->client.len);
 
     if (p != NULL) {
-        address(p, c->now, SOCK_SERVICE, to);
+        set_destination(p, c->now, SOCK_SERVICE, to);
         p->service = out->client.service;
         return;
     }
@@ -93,7 +94,7 @@
     packet_post(c, p, (int)out->client.len);
 }
 
-/* Puts the proxy header into the room before the datagram. */
+/* Writes the proxy header into the headroom before the datagram. */
 static void
 prepend_header(packet_t *p, const spp_t *h)
 {
@@ -111,7 +112,7 @@
     packet_t *p = reuse_current(c, out->upstream.data, len);
 
     if (p != NULL) {
-        address(p, c->now, sock, to);
+        set_destination(p, c->now, sock, to);
         prepend_header(p, &out->upstream.header);
         return;
     }
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -52,7 +52,7 @@
                  e->step, e->peer, e->text);
     }
     if (rc == 0 && b->down) {
-        log_line(LVL_INFO, part, "The platform is reachable again.");
+        log_line(LVL_INFO, part, "The platform can be used again.");
     }
     b->down = rc < 0;
     if (rc == 0) {
--- a/siskind/ports.c
+++ b/siskind/ports.c
@@ -19,7 +19,7 @@
     return NULL;
 }
 
-/* Where the instance takes callers' datagrams for the service. */
+/* Returns the address on which callers' datagrams for the service arrive. */
 static addr_t
 bind_addr(const conf_service_t *service, const settings_t *s)
 {
@@ -38,7 +38,7 @@
 }
 
 static port_t *
-port_open(const conf_service_t *service, const settings_t *s, bool again)
+port_open(const conf_service_t *service, const settings_t *s, bool retry)
 {
     addr_t a = bind_addr(service, s);
     err_t e = {0};
@@ -46,7 +46,7 @@
     int fd = udp_open(&a, &e);
 
     if (fd < 0) {
-        log_line(again ? LVL_DEBUG : LVL_ERROR, "ports",
+        log_line(retry ? LVL_DEBUG : LVL_ERROR, "ports",
                  "Can't take datagrams for a service. "
                  "service=%s step=\"%s\" peer=%s error=\"%s\"",
                  service->name, e.step, e.peer, e.text);
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -184,12 +184,12 @@
     size_t n = duty_take(self, msg, INBOX_BATCH);
 
     for (size_t i = 0; i < n; i++) {
-        control_t *note = msg[i];
-        if (note->kind == MSG_PORTS) {
-            replace_ports(r, note->ports);
-            note->ports = NULL;
+        control_t *ctl = msg[i];
+        if (ctl->kind == MSG_PORTS) {
+            replace_ports(r, ctl->ports);
+            ctl->ports = NULL;
         }
-        msg_drop(note);
+        msg_drop(ctl);
     }
 }
 
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -1,4 +1,4 @@
-/* Versions between instances, over a ZeroMQ socket. */
+/* Sends and receives versions over a ZeroMQ socket. */
 #include "siskind/reply.h"
 #include "core/core.h"
 
@@ -34,10 +34,11 @@
     return rc < 0 ? rc : rc + len;
 }
 
-/* With more than STEPS_MAX changes in DOUBT_MS, some of the versions that an
- * instance has to know of are no longer kept.  Told that it has them all, it
- * would run again what an upstream of those still holds; not told, it stays in
- * doubt for DOUBT_MS. */
+/* True when V still has every version that an instance needs.  With more than
+ * STEPS_MAX changes in DOUBT_MS, some of them are no longer kept.  An instance
+ * that is wrongly told that its history is complete would run requests again
+ * that an upstream of a missing version still holds.  Otherwise its ownership
+ * stays uncertain for DOUBT_MS. */
 static bool
 history_is_complete(const versions_t *v, ms_t now)
 {
@@ -80,7 +81,7 @@
     return more != 0;
 }
 
-/* A text frame; its length, 0 for an empty one. */
+/* Receives a text frame; returns its length, 0 for an empty frame. */
 static int
 receive_head(void *socket, char head[HEAD_MAX])
 {
@@ -93,7 +94,7 @@
     return n;
 }
 
-/* Replaces TEXT by what the next difference makes of OLD. */
+/* Replaces TEXT by OLD with the next difference applied. */
 static int
 receive_step(void *socket, const blob_t *old, blob_t *text, ms_t *age)
 {
@@ -148,7 +149,7 @@
 reply_receive(void *socket, const versions_t *v,
               reply_version_fn_t *on_version, void *arg)
 {
-    static const blob_t nothing;
+    static const blob_t empty;
     unsigned long long from;
     int complete;
     char head[HEAD_MAX];
@@ -162,10 +163,10 @@
         return -EBADMSG;
     }
     if (from == 0) {
-        return receive_steps(socket, &nothing, complete != 0, on_version, arg);
+        return receive_steps(socket, &empty, complete != 0, on_version, arg);
     }
     if (from != v->version) {
-        return -ESTALE; /* a version came by another way meanwhile */
+        return -ESTALE; /* a version has arrived by another way */
     }
     return receive_steps(socket, &v->json, false, on_version, arg);
 }
--- a/siskind/send.c
+++ b/siskind/send.c
@@ -117,15 +117,15 @@
 }
 
 static void
-handle_control(send_t *s, control_t *note)
+handle_control(send_t *s, control_t *ctl)
 {
-    if (note->kind == MSG_PORTS) {
+    if (ctl->kind == MSG_PORTS) {
         send_packets(s); /* their descriptors are of the old set */
         ports_release(s->ports);
-        s->ports = note->ports;
-        note->ports = NULL;
+        s->ports = ctl->ports;
+        ctl->ports = NULL;
     }
-    msg_drop(note);
+    msg_drop(ctl);
 }
 
 void
--- a/siskind/siskind.h
+++ b/siskind/siskind.h
@@ -90,7 +90,7 @@
 } packet_t;
 
 /* A query of the admin duty, answered with a snapshot. */
-typedef struct ask query_t;
+typedef struct query query_t;
 
 /* Any other message. */
 typedef struct {
@@ -115,7 +115,7 @@
             addr_t bulk_addr;
             uint64_t version;
         } fetch;
-        query_t *ask;
+        query_t *query;
     };
 } control_t;
 
@@ -216,7 +216,7 @@
 } view_t;
 
 /* Shared by admin and decide; reference counted. */
-struct ask {
+struct query {
     query_kind_t kind;
     pthread_mutex_t lock;
     pthread_cond_t done_cond;
--- a/siskind/status.c
+++ b/siskind/status.c
@@ -1,4 +1,4 @@
-/* /status and /flows: a snapshot as JSON. */
+/* /status and /flows: formats a snapshot as JSON. */
 #include "siskind/siskind.h"
 
 #include <jansson.h>
--- a/siskind/view.c
+++ b/siskind/view.c
@@ -1,4 +1,4 @@
-/* Answers to operators' questions, made by the decide duty. */
+/* Snapshots that the decide duty makes in answer to operators' queries. */
 #include "siskind/decide.h"
 
 #include <errno.h>
