--- a/test/siskind_lib.bash
+++ b/test/siskind_lib.bash
@@ -1,23 +1,23 @@
-# Shared by the scripted runs of siskind: instances and upstreams as real
+# Shared by the siskind test scripts: runs instances and upstreams as real
 # processes beside the platform of ctl_lib.bash.  Sourced with the build
-# directory as $1.  Each waits for conditions; nothing depends on how fast.
+# directory as $1.  The scripts wait for conditions and don't depend on timing.
 . "$(dirname "$0")/ctl_lib.bash"
 net=127.31.$(($$ % 250))
 key=$(printf '5f%.0s' $(seq 32))
-declare -A process
+declare -A pids
 
 siskind_cleanup() {
-    for p in "${process[@]}"; do
+    for p in "${pids[@]}"; do
         kill -CONT "$p" 2>/dev/null
         kill -KILL "$p" 2>/dev/null
     done
-    wait "${process[@]}" 2>/dev/null
+    wait "${pids[@]}" 2>/dev/null
     cleanup
 }
 
 trap siskind_cleanup EXIT
 
-settings() {            # NUMBER [PEER]...: writes N.toml
+write_settings() {      # NUMBER [PEER]...: writes N.toml
     local n=$1 at=$net.$1
     cat >"$n.toml" <<END
 name = "try-$n"
@@ -43,7 +43,7 @@
     done
 }
 
-site() {                # writes base.toml and dc-a.toml
+write_site() {          # writes base.toml and dc-a.toml
     cat >base.toml <<END
 [site]
 name = "try"
@@ -66,26 +66,26 @@
 END
 }
 
-start() {               # NAME COMMAND...
+start_process() {       # NAME COMMAND...
     local p=$1
     shift
     "$@" >>"$p.log" 2>&1 &
-    process[$p]=$!
+    pids[$p]=$!
 }
 
-instance() {            # NUMBER
-    start "$1" "$b/siskind" "$1.toml"
+start_instance() {      # NUMBER
+    start_process "$1" "$b/siskind" "$1.toml"
 }
 
-# The exit code of a process that has been told to stop.
-ended() {               # NAME
-    wait "${process[$1]}"
+# Waits for a process that was signalled to stop; prints its exit code.
+wait_exit() {           # NAME
+    wait "${pids[$1]}"
     echo "$1 ended: exit $?"
-    unset "process[$1]"
+    unset "pids[$1]"
 }
 
-# Tries each 50 ms, 30 s at most.
-until_true() {          # WHAT COMMAND...
+# Runs COMMAND every 50 ms until it succeeds, for at most 30 s; prints WHAT.
+wait_until() {          # WHAT COMMAND...
     local what=$1
     shift
     for _ in $(seq 600); do
@@ -115,12 +115,13 @@
     [ "${v:-0}" "$3" "$4" ]
 }
 
-datagram() {            # IP:PORT TEXT
+send_datagram() {       # IP:PORT TEXT
     printf '%s' "$2" >"/dev/udp/${1%:*}/${1#*:}"
 }
 
-# Opaque flows by way of the fabric: what they got back.
-echoes() {              # SECONDS
+# Runs opaque flows through the fabric; prints the timeout, broken and crossed
+# counts.
+run_echo_flows() {      # SECONDS
     "$b/si_caller" --platform="http://127.0.0.1:$port" \
         --service="$net.100:7001" --from="$net.150" --echoes=4 \
         --seconds="$1" --every-ms=50 |
--- a/test/siskind_usage.sh
+++ b/test/siskind_usage.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The command line of siskind, and settings that it can't start with.
+# The command line of siskind, and settings with which the start must fail.
 # usage: test/siskind_usage.sh BUILD
 . "$(dirname "$0")/siskind_lib.bash"
 
@@ -12,7 +12,7 @@
 
 run() {
     port=9
-    settings 1
+    write_settings 1
     siskind
     siskind --help
     siskind --version
@@ -21,7 +21,7 @@
     siskind --nothing 1.toml
     sed -i 's/^name = .*/name = 7/' 1.toml
     siskind --check 1.toml
-    settings 1
+    write_settings 1
     sed -i 's/^return_addr = .*/return_addr = "192.0.2.1:6000"/' 1.toml
     siskind 1.toml
 }
