--- a/siskind/bulk.c
+++ b/siskind/bulk.c
@@ -40,8 +40,7 @@
     candidate_t candidate[CANDIDATES_MAX];
     versions_t versions; /* the version in force and recent ones */
     bool want_full;      /* the last difference didn't apply: request all */
-    uint64_t
-        offered_version; /* last fetched; may still be queued for decide */
+    uint64_t offered_version; /* last fetched; decide may not have it yet */
     ms_t offered_at;
     int accepted; /* versions accepted from the last answer */
     char public_key[Z85_LEN], secret_key[Z85_LEN];
--- a/siskind/life.c
+++ b/siskind/life.c
@@ -28,7 +28,7 @@
 }
 
 /* True when every upstream has an identity lease, or WARMUP_MAX_MS have
- * passed. An instance that served before its first probes are answered would
+ * passed.  An instance that served before its first probes are answered would
  * refuse work for lack of verified upstreams although all are healthy, and
  * callers would notice each restart.  The limit keeps an upstream that is down
  * from delaying the start further. */
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -20,7 +20,7 @@
  * the sockets' buffers hold any excess. */
 #define PACKET_INBOX 4096
 #define CONTROL_INBOX 64
-/* Packets of a pool: a full inbox, and the buffers of the duties at both ends.
+/* Packets of a pool: a full inbox, and the buffers of the duties at its ends.
  */
 #define PACKETS (PACKET_INBOX + 256)
 
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -153,8 +153,7 @@
     bundle_free(&b);
 }
 
-/* Reads the parts that the configuration's head names and offers the bundle.
- */
+/* Reads the parts named by the configuration's head and offers the bundle. */
 static int
 offer_head(daemon_t *d, plat_t *p, const char *head, err_t *e)
 {
@@ -312,8 +311,7 @@
     return rc < 0 ? backoff_next(&r->backoff) : IDLE_MS;
 }
 
-/* Messages only wake this duty; the work to do follows from the shared state.
- */
+/* Messages only wake this duty; the shared state determines the work. */
 static void
 drain_inbox(duty_t *self)
 {
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -38,7 +38,7 @@
 /* False when decide's inbox has no room for a datagram of this socket.
  * Callers' datagrams are shed when only a quarter of the inbox is left:
  * upstreams' answers and peers' messages complete work in progress and take
- * precedence. Datagrams are dropped silently, as by the network: a "not run"
+ * precedence.  Datagrams are dropped silently, as by the network: a "not run"
  * answer would be wrong if another copy of the request has been forwarded. */
 static bool
 has_room(const receive_t *r, sock_t sock)
@@ -158,8 +158,7 @@
     }
 }
 
-/* Tags of the fixed descriptors; a service's tag is TAG_PORT plus its index.
- */
+/* Tags of the fixed descriptors; a service's is TAG_PORT plus its index. */
 enum { TAG_WAKE, TAG_RETURN, TAG_OWN, TAG_PEER, TAG_PORT };
 
 /* Switches to the sockets of a newer configuration.  Unread datagrams of
--- a/test/siskind_life.sh
+++ b/test/siskind_life.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# State changes of instances: they join, apply new versions, fetch a version from
-# a peer during a platform outage, and are drained, paused and stopped.
+# State changes of instances: they join, apply new versions, fetch a version
+# from a peer during a platform outage, and are drained, paused and stopped.
 # usage: test/siskind_life.sh BUILD
 . "$(dirname "$0")/siskind_lib.bash"
 
@@ -26,9 +26,9 @@
     wait_until "1 knows 2" status_has 1 '"name": "try-2"[^}]*"active"'
     wait_until "upstreams are trusted" status_has 1 '"trusted": true'
 
-    # The platform doesn't answer.  Instances keep nothing on disk, so a new one
-    # has neither a version nor the list of instances.  Its settings name peers,
-    # which announce the version; it fetches the texts from one of them.
+    # The platform doesn't answer.  Instances keep nothing on disk, so a new
+    # one has neither a version nor the list of instances.  Its settings name
+    # peers, which announce the version; it fetches the texts from a peer.
     echo "## The platform is out: a third one learns from its peers"
     switch outage=1
     start_instance 3
--- a/test/siskind_spread.sh
+++ b/test/siskind_spread.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Distribution of a large configuration: from the platform's parts to instances,
-# and between instances, as the whole text to an instance without a version and
-# as differences to one that is behind.
+# Distribution of a large configuration: from the platform's parts to
+# instances, and between instances, as the whole text to an instance without a
+# version and as differences to one that is behind.
 # usage: test/siskind_spread.sh BUILD
 . "$(dirname "$0")/siskind_lib.bash"
 
