--- a/siskind/life.c
+++ b/siskind/life.c
@@ -75,10 +75,9 @@
     return c->conf != NULL ? c->conf->drain_ms : DRAIN_MS;
 }
 
-/* True when the fabric no longer sends callers' datagrams to this instance. It
- * does so until its lagging list shows the instance as leaving, and until then
- * they must be forwarded.  While the platform is unreachable, the list can't
- * show it. */
+/* True when the fabric has stopped sending callers' datagrams here.  It sends
+ * them, and they must be forwarded, until its lagging list shows this instance
+ * as leaving.  While the platform is unreachable, the list can't show that. */
 static bool
 fabric_updated(const decide_t *c)
 {
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -35,10 +35,10 @@
 }
 
 /* True when V still has every version that an instance needs.  With more than
- * STEPS_MAX changes in DOUBT_MS, some of them are no longer kept.  If it
- * then believed its history complete, an instance would run requests again
- * that an upstream of a missing version still holds.  Without a complete
- * history, its ownership stays uncertain for DOUBT_MS. */
+ * STEPS_MAX changes in DOUBT_MS, some of them are no longer kept.  If an
+ * instance then believed its history complete, it would run requests again
+ * that an upstream of a missing version still holds.  Otherwise its ownership
+ * stays uncertain for DOUBT_MS. */
 static bool
 history_is_complete(const versions_t *v, ms_t now)
 {
