--- a/siskind/main.c
+++ b/siskind/main.c
@@ -1,4 +1,4 @@
-/* siskind: the load balancer's daemon.  Options, start, signals, stop. */
+/* siskind, the load balancer's daemon: options, start, signals and stop. */
 #include "siskind/siskind.h"
 #include "tagged/tagged.h"
 
@@ -17,13 +17,14 @@
 enum { EXIT_OK, EXIT_FAILED, EXIT_USAGE };
 
 /* Sizes of the inboxes.  Decide's holds 40 ms of 100,000 datagrams a second;
- * the sockets hold what comes beyond. */
+ * the sockets' buffers hold any excess. */
 #define PACKET_INBOX 4096
-#define NOTE_INBOX 64
-/* Packets: an inbox full, and what both ends have in hand. */
+#define CONTROL_INBOX 64
+/* Packets of a pool: a full inbox, and the buffers of the duties at its ends.
+ */
 #define PACKETS (PACKET_INBOX + 256)
 
-#define STOP_MS 1500
+#define STOP_TIMEOUT_MS 1500
 
 static const duty_spec_t duties[] = {
     {.name = "main", .inbox = 4},
@@ -34,9 +35,12 @@
     {.name = "decide", .run = decide_run, .inbox = PACKET_INBOX},
     {.name = "receive",
      .run = receive_run,
-     .inbox = NOTE_INBOX,
+     .inbox = CONTROL_INBOX,
+     .one_sender = true},
+    {.name = "bulk",
+     .run = bulk_run,
+     .inbox = CONTROL_INBOX,
      .one_sender = true},
-    {.name = "bulk", .run = bulk_run, .inbox = NOTE_INBOX, .one_sender = true},
     {.name = "watch", .run = watch_run, .inbox = 4, .one_sender = true},
     {.name = "roster", .run = roster_run, .inbox = 4, .one_sender = true},
     {.name = "admin", .run = admin_run, .inbox = 4, .one_sender = true},
@@ -92,8 +96,8 @@
     return 0;
 }
 
-/* A descriptor that tells of signals; set up before any thread starts, so
- * that all threads inherit the mask. */
+/* Returns a signalfd.  Called before any thread starts, so that all threads
+ * inherit the signal mask. */
 static int
 open_signals(void)
 {
@@ -108,9 +112,9 @@
     return signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
-/* Waits until a graceful leave is complete, or a second signal. */
+/* Waits for the end of a graceful leave or for a second signal. */
 static void
-wait_for_end(daemon_t *d, int signals)
+wait_for_stop(daemon_t *d, int signals)
 {
     duty_t *self = kern_find(d->kern, "main");
     struct pollfd fds[2] = {[1] = {.fd = signals, .events = POLLIN}};
@@ -133,7 +137,7 @@
             return;
         }
         log_line(LVL_INFO, "main", "Draining. signal=%u", info.ssi_signo);
-        note_post(kern_find(d->kern, "decide"), note_new(MSG_LEAVE));
+        control_post(kern_find(d->kern, "decide"), control_new(MSG_LEAVE));
     }
 }
 
@@ -171,21 +175,22 @@
     }
     rc = kern_start(d->kern);
     if (rc < 0) {
-        log_line(LVL_ERROR, "main", "No threads. error=\"%s\"", strerror(-rc));
+        log_line(LVL_ERROR, "main", "Can't start the threads. error=\"%s\"",
+                 strerror(-rc));
         return EXIT_FAILED;
     }
     log_line(LVL_INFO, "main", "Started. data_centre=%s",
              d->settings.data_centre);
-    wait_for_end(d, signals);
-    rc = kern_stop(d->kern, STOP_MS);
-    log_line(LVL_INFO, "main", "It has stopped.");
+    wait_for_stop(d, signals);
+    rc = kern_stop(d->kern, STOP_TIMEOUT_MS);
+    log_line(LVL_INFO, "main", "Stopped.");
     if (rc == 0) {
         kern_free(d->kern);
         pool_free(d->in);
         pool_free(d->out);
     }
-    /* Else a call to the platform still blocks: the process ends without it,
-     * and frees nothing that the thread may yet use. */
+    /* On failure a thread still blocks in a call to the platform: exit without
+     * waiting, and don't free what the thread may still use. */
     log_close();
     return EXIT_OK;
 }
@@ -198,7 +203,7 @@
 }
 
 static int
-with_tagged(const char *file, const char *text, bool check)
+start_tagged_mode(const char *file, const char *text, bool check)
 {
     tagged_settings_t s;
     err_t e = {0};
@@ -215,7 +220,7 @@
 }
 
 static int
-with_homes(const char *file, const char *text, bool check)
+start_owner_mode(const char *file, const char *text, bool check)
 {
     static daemon_t d;
     err_t e = {0};
@@ -237,9 +242,9 @@
     return run(&d);
 }
 
-/* The settings' kind says which daemon this is. */
+/* Starts the mode of operation that the kind of the settings selects. */
 static int
-with_settings(const char *file, bool check)
+start_from_file(const char *file, bool check)
 {
     err_t e = {0};
     char *text = conf_read_file(file, &e);
@@ -248,8 +253,8 @@
     if (text == NULL) {
         return refuse_settings(&e);
     }
-    rc = tagged_is(text) ? with_tagged(file, text, check)
-                         : with_homes(file, text, check);
+    rc = tagged_is(text) ? start_tagged_mode(file, text, check)
+                         : start_owner_mode(file, text, check);
     free(text);
     return rc;
 }
@@ -292,7 +297,7 @@
         rc = EXIT_USAGE;
     }
     else {
-        rc = with_settings(file->filename[0], check->count > 0);
+        rc = start_from_file(file->filename[0], check->count > 0);
     }
     arg_freetable(table, sizeof(table) / sizeof(table[0]));
     return rc;
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -1,4 +1,4 @@
-/* Versions between instances, over a ZeroMQ socket. */
+/* Sends and receives versions over a ZeroMQ socket. */
 #include "siskind/reply.h"
 #include "core/core.h"
 
@@ -34,12 +34,13 @@
     return rc < 0 ? rc : rc + len;
 }
 
-/* With more than STEPS_MAX changes in DOUBT_MS, some of the versions that an
- * instance has to know of are no longer kept.  Told that it has them all, it
- * would run again what an upstream of those still holds; not told, it stays in
- * doubt for DOUBT_MS. */
+/* True when V still has every version that an instance needs.  With more than
+ * STEPS_MAX changes in DOUBT_MS, some of them are no longer kept.  If an
+ * instance then believed its history complete, it would run requests again
+ * that an upstream of a missing version still holds.  Otherwise its ownership
+ * stays uncertain for DOUBT_MS. */
 static bool
-has_all(const versions_t *v, ms_t now)
+history_is_complete(const versions_t *v, ms_t now)
 {
     return !v->dropped || now - v->first.at >= DOUBT_MS;
 }
@@ -59,7 +60,7 @@
     }
     len = snprintf(head, sizeof(head), "FROM %llu %d",
                    (unsigned long long)(whole ? 0 : have),
-                   whole && complete && has_all(v, now));
+                   whole && complete && history_is_complete(v, now));
     sent = rc = send_frame(socket, head, (size_t)len, true);
     for (size_t i = 0; rc >= 0 && i < n; i++) {
         rc = send_step(socket, step[i], now, i + 1 == n);
@@ -80,7 +81,7 @@
     return more != 0;
 }
 
-/* A text frame; its length, 0 for an empty one. */
+/* Receives a text frame; returns its length, 0 for an empty frame. */
 static int
 receive_head(void *socket, char head[HEAD_MAX])
 {
@@ -93,7 +94,7 @@
     return n;
 }
 
-/* Replaces TEXT by what the next difference makes of OLD. */
+/* Replaces TEXT by OLD with the next difference applied. */
 static int
 receive_step(void *socket, const blob_t *old, blob_t *text, ms_t *age)
 {
@@ -126,7 +127,7 @@
 
 static int
 receive_steps(void *socket, const blob_t *old, bool complete,
-              reply_take_t *take, void *arg)
+              reply_version_fn_t *on_version, void *arg)
 {
     blob_t text = {0};
     ms_t age = 0;
@@ -137,7 +138,7 @@
             i <= STEPS_MAX ? receive_step(socket, old, &text, &age) : -EBADMSG;
         old = &text;
         if (rc == 0) {
-            take(arg, &text, age, complete);
+            on_version(arg, &text, age, complete);
         }
     }
     blob_free(&text);
@@ -145,9 +146,10 @@
 }
 
 int
-reply_receive(void *socket, const versions_t *v, reply_take_t *take, void *arg)
+reply_receive(void *socket, const versions_t *v,
+              reply_version_fn_t *on_version, void *arg)
 {
-    static const blob_t nothing;
+    static const blob_t empty;
     unsigned long long from;
     int complete;
     char head[HEAD_MAX];
@@ -161,10 +163,10 @@
         return -EBADMSG;
     }
     if (from == 0) {
-        return receive_steps(socket, &nothing, complete != 0, take, arg);
+        return receive_steps(socket, &empty, complete != 0, on_version, arg);
     }
     if (from != v->version) {
-        return -ESTALE; /* a version came by another way meanwhile */
+        return -ESTALE; /* a version has arrived by another way */
     }
-    return receive_steps(socket, &v->json, false, take, arg);
+    return receive_steps(socket, &v->json, false, on_version, arg);
 }
