--- a/plat/apply.c
+++ b/plat/apply.c
@@ -15,14 +15,14 @@
 #include <string.h>
 #include <time.h>
 
-#define TRIES 5
-#define READS 3      /* of a head whose parts don't fit */
-#define PAUSE_MS 100 /* before the second try; longer before each later */
+#define ATTEMPTS_MAX 5
+#define READS_MAX 3    /* of a head whose parts don't fit */
+#define BACKOFF_MS 100 /* before the second try; longer before each later */
 
 static void
-pause_before(int attempt)
+sleep_backoff(int attempt)
 {
-    const struct timespec ts = {.tv_nsec = attempt * PAUSE_MS * 1000000L};
+    const struct timespec ts = {.tv_nsec = attempt * BACKOFF_MS * 1000000L};
 
     nanosleep(&ts, NULL);
 }
@@ -38,7 +38,7 @@
 
     *b = (conf_bundle_t){0};
     *l = (layout_t){0};
-    for (int i = 0; i < READS && rc == -ESTALE; i++) {
+    for (int i = 0; i < READS_MAX && rc == -ESTALE; i++) {
         rc = plat_get(p, PLAT_CONFIG_KEY, 0, 0, &head, revision, e);
         if (rc < 0 || head == NULL) {
             return rc;
@@ -103,7 +103,7 @@
 /* Keeps CUR for those who lose the race against its successor and want to
  * know what changed.  Best effort: without it they see less, not wrong. */
 static void
-keep_history(plat_t *p, const conf_bundle_t *cur, const layout_t *layout)
+save_history(plat_t *p, const conf_bundle_t *cur, const layout_t *layout)
 {
     char key[64];
     char *old, *json = store_head(cur, layout);
@@ -127,7 +127,7 @@
     uint64_t revision; /* of CUR */
     layout_t layout;   /* of CUR */
     bool unknown;      /* a write was sent and not answered */
-    bool kept;         /* CUR is in the history */
+    bool in_history;   /* CUR is in the history */
     err_t *e;
 } apply_t;
 
@@ -147,7 +147,7 @@
 }
 
 static void
-follow(conf_bundle_t *b, const conf_bundle_t *cur)
+set_predecessors(conf_bundle_t *b, const conf_bundle_t *cur)
 {
     b->version = cur->version + 1;
     b->n_changes = 0;
@@ -163,7 +163,7 @@
 }
 
 static int
-check_follows(const conf_bundle_t *b, const conf_bundle_t *cur, err_t *e)
+check_transition(const conf_bundle_t *b, const conf_bundle_t *cur, err_t *e)
 {
     conf_t *old = NULL;
     conf_t *new_ = bundle_conf(b, e);
@@ -184,7 +184,7 @@
 /* Records which slots are taken, without a new version: whoever took them for
  * a head after this one can no longer write it, so they are free again. */
 static void
-record_slots(apply_t *a, const layout_t *seen)
+record_slot_revisions(apply_t *a, const layout_t *seen)
 {
     uint64_t revision;
     char *json;
@@ -205,7 +205,7 @@
     int rc = store_parts(a->p, a->b, &a->layout, next, a->e);
 
     if (rc == -ENOSPC) {
-        record_slots(a, next);
+        record_slot_revisions(a, next);
         return 1;
     }
     if (rc == -EIO || rc == -ETIMEDOUT) {
@@ -229,9 +229,9 @@
                        "most %d bytes",
                        PLAT_VALUE_MAX);
     }
-    if (!a->kept && a->cur.n > 0) {
-        keep_history(a->p, &a->cur, &a->layout);
-        a->kept = true;
+    if (!a->in_history && a->cur.n > 0) {
+        save_history(a->p, &a->cur, &a->layout);
+        a->in_history = true;
     }
     rc = plat_put(a->p, PLAT_CONFIG_KEY, json, a->revision, &revision, a->e);
     free(json);
@@ -243,12 +243,12 @@
 write_next(apply_t *a)
 {
     layout_t next;
-    int rc = check_follows(a->b, &a->cur, a->e);
+    int rc = check_transition(a->b, &a->cur, a->e);
 
     if (rc < 0) {
         return rc;
     }
-    follow(a->b, &a->cur);
+    set_predecessors(a->b, &a->cur);
     rc = write_parts(a, &next);
     return rc != 0 ? rc : write_head(a, &next);
 }
@@ -256,7 +256,7 @@
 /* Before anything was written, no answer means only that: -EIO would tell the
  * operator of an unknown outcome. */
 static int
-not_written(int rc)
+unreachable_error(int rc)
 {
     return rc == -EIO || rc == -ETIMEDOUT ? -EHOSTUNREACH : rc;
 }
@@ -271,7 +271,7 @@
     bundle_free(&a->cur);
     rc = read_config(a->p, &a->cur, &a->layout, &a->revision, a->e);
     if (rc < 0) {
-        return a->unknown || rc == -ESTALE ? 1 : not_written(rc);
+        return a->unknown || rc == -ESTALE ? 1 : unreachable_error(rc);
     }
     done = version_of_change(&a->cur, a->b->change_id);
     if (done > 0) {
@@ -303,13 +303,13 @@
 }
 
 static int
-settle(apply_t *a)
+apply_with_retries(apply_t *a)
 {
     int rc = 1;
 
-    for (int i = 0; i < TRIES && rc == 1; i++) {
+    for (int i = 0; i < ATTEMPTS_MAX && rc == 1; i++) {
         if (i > 0) {
-            pause_before(i);
+            sleep_backoff(i);
         }
         rc = apply_round(a);
     }
@@ -329,21 +329,21 @@
 plat_apply(plat_t *p, conf_bundle_t *b, uint64_t expect, conf_bundle_t *theirs,
            err_t *e)
 {
-    err_t why = {0};
-    apply_t a = {.p = p, .b = b, .expect = expect, .e = &why};
+    err_t error = {0};
+    apply_t a = {.p = p, .b = b, .expect = expect, .e = &error};
     int rc;
 
     if (theirs != NULL) {
         *theirs = (conf_bundle_t){0};
     }
-    rc = settle(&a);
+    rc = apply_with_retries(&a);
     if (rc == -EAGAIN && theirs != NULL && a.cur.version > expect) {
         *theirs = a.cur;
         a.cur = (conf_bundle_t){0};
     }
     bundle_free(&a.cur);
     if (rc < 0 && e != NULL) {
-        *e = why;
+        *e = error;
         e->code = rc;
     }
     return rc;
--- a/plat/bundle.c
+++ b/plat/bundle.c
@@ -38,7 +38,7 @@
 }
 
 static int
-add(conf_bundle_t *b, const char *file, const char *text, err_t *e)
+append_text(conf_bundle_t *b, const char *file, const char *text, err_t *e)
 {
     if (b->n == SOURCES_MAX) {
         return err_set(e, -EINVAL, STEP, file,
@@ -56,7 +56,7 @@
 
 /* Puts the overlay that came last in its place by name, behind the base. */
 static void
-sort_last(conf_bundle_t *b)
+sort_last_overlay(conf_bundle_t *b)
 {
     for (size_t i = b->n - 1; i > 1; i--) {
         char *file = b->file[i], *text = b->text[i];
@@ -73,10 +73,10 @@
 int
 bundle_add(conf_bundle_t *b, const char *file, const char *text, err_t *e)
 {
-    int rc = add(b, file, text, e);
+    int rc = append_text(b, file, text, e);
 
     if (rc == 0) {
-        sort_last(b);
+        sort_last_overlay(b);
     }
     return rc;
 }
@@ -84,7 +84,7 @@
 /* ---- JSON ---- */
 
 static int
-fail_form(err_t *e, const char *what)
+format_error(err_t *e, const char *what)
 {
     return err_set(e, -EBADMSG, STEP, "configuration",
                    "%s; expected a stored configuration", what);
@@ -136,16 +136,16 @@
     int rc;
 
     if (base == NULL) {
-        return fail_form(e, "no base text");
+        return format_error(e, "no base text");
     }
-    rc = add(b, BASE, base, e);
+    rc = append_text(b, BASE, base, e);
     if (rc < 0) {
         return rc;
     }
     json_object_foreach(json_object_get(o, "overlays"), name, text)
     {
         if (!json_is_string(text)) {
-            return fail_form(e, "an overlay is no text");
+            return format_error(e, "an overlay is no text");
         }
         rc = bundle_add(b, name, json_string_value(text), e);
         if (rc < 0) {
@@ -175,7 +175,8 @@
     if (b->version == 0 || copy_change_id(b->change_id, o) < 0 ||
         read_hash(&b->hash, o) < 0 ||
         read_changes(b, json_object_get(o, "changes")) < 0) {
-        return fail_form(e, "version, change_id, hash or changes don't fit");
+        return format_error(e,
+                            "version, change_id, hash or changes don't fit");
     }
     return 0;
 }
@@ -192,7 +193,7 @@
         return rc;
     }
     if (bundle_hash(b) != b->hash) {
-        return fail_form(e, "the texts don't have the hash that they name");
+        return format_error(e, "the texts don't have the hash that they name");
     }
     return 0;
 }
@@ -206,7 +207,7 @@
     *b = (conf_bundle_t){0};
     if (!json_is_object(o)) {
         json_decref(o);
-        return fail_form(e, "no JSON object");
+        return format_error(e, "no JSON object");
     }
     rc = read_object(b, o, e);
     json_decref(o);
@@ -269,7 +270,7 @@
 /* The key of each overlay is the data centre that its text names: a version
  * stored under another would be edited in the wrong place. */
 static int
-check_names(const conf_bundle_t *b, err_t *e)
+check_overlay_names(const conf_bundle_t *b, err_t *e)
 {
     char name[NAME_LEN];
 
@@ -291,7 +292,7 @@
     conf_source_t src[SOURCES_MAX];
     conf_t *c;
 
-    if (check_names(b, e) < 0) {
+    if (check_overlay_names(b, e) < 0) {
         return NULL;
     }
     c = conf_parse(src, sources(b, src), e);
@@ -333,7 +334,7 @@
         return -EINVAL;
     }
     conf_free(c);
-    rc = add(b, BASE, src[0].text, e);
+    rc = append_text(b, BASE, src[0].text, e);
     if (rc == 0) {
         rc = add_overlays(b, src, n, e);
     }
--- a/plat/client.c
+++ b/plat/client.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_MS 3000
+#define CALL_TIMEOUT_MS 3000
 #define PATH_LEN 512
 
 struct plat {
@@ -73,7 +73,8 @@
 }
 
 static int
-fail(const plat_t *p, const http_call_t *c, const http_reply_t *r, err_t *e)
+protocol_error(const plat_t *p, const http_call_t *c, const http_reply_t *r,
+               err_t *e)
 {
     return err_set(e, -EPROTO, c->step, http_peer(p->http),
                    "answered with status %ld, \"%.80s\"; expected the "
@@ -82,7 +83,7 @@
 }
 
 static uint64_t
-revision_of(const json_t *body)
+parse_revision(const json_t *body)
 {
     return (uint64_t)json_integer_value(json_object_get(body, "revision"));
 }
@@ -90,7 +91,7 @@
 /* ---- Keys ---- */
 
 static int
-take_value(const json_t *body, char **value, uint64_t *revision)
+parse_value(const json_t *body, char **value, uint64_t *revision)
 {
     const char *s = json_string_value(json_object_get(body, "value"));
 
@@ -98,7 +99,7 @@
         return -EPROTO;
     }
     *value = strdup(s);
-    *revision = revision_of(body);
+    *revision = parse_revision(body);
     return *value != NULL ? 0 : -ENOMEM;
 }
 
@@ -108,7 +109,7 @@
 {
     char path[PATH_LEN];
     http_call_t c = {.path = path,
-                     .timeout_ms = CALL_MS + wait_ms,
+                     .timeout_ms = CALL_TIMEOUT_MS + wait_ms,
                      .step = wait_ms > 0 ? "platform watch" : "platform read"};
     http_reply_t r;
     json_t *body;
@@ -131,9 +132,9 @@
         return 0;
     }
     body = r.status == 200 ? json_loads(r.body, 0, NULL) : NULL;
-    rc = take_value(body, value, revision);
+    rc = parse_value(body, value, revision);
     json_decref(body);
-    return rc < 0 ? fail(p, &c, &r, e) : 0;
+    return rc < 0 ? protocol_error(p, &c, &r, e) : 0;
 }
 
 int
@@ -144,7 +145,7 @@
     http_call_t c = {.method = HTTP_PUT,
                      .path = path,
                      .body = value,
-                     .timeout_ms = CALL_MS,
+                     .timeout_ms = CALL_TIMEOUT_MS,
                      .step = "platform write"};
     http_reply_t r;
     json_t *body;
@@ -157,10 +158,10 @@
         return rc;
     }
     if (r.status != 200 && r.status != 409) {
-        return fail(p, &c, &r, e);
+        return protocol_error(p, &c, &r, e);
     }
     body = json_loads(r.body, 0, NULL);
-    *revision = revision_of(body);
+    *revision = parse_revision(body);
     json_decref(body);
     if (r.status == 409) {
         return err_set(e, -EAGAIN, c.step, http_peer(p->http),
@@ -183,7 +184,7 @@
     int rc = -ENOMEM;
 
     c->path = path;
-    c->timeout_ms = CALL_MS;
+    c->timeout_ms = CALL_TIMEOUT_MS;
     if (n != NULL && o != NULL) {
         snprintf(path, sizeof(path), "/v1/lease/%s?owner=%s&ms=%lld", n, o,
                  (long long)ms);
@@ -198,7 +199,7 @@
         return err_set(e, -EBUSY, c->step, http_peer(p->http),
                        "another holds lease %s: %.80s", name, r.body);
     }
-    return r.status == 200 ? 0 : fail(p, c, &r, e);
+    return r.status == 200 ? 0 : protocol_error(p, c, &r, e);
 }
 
 int
@@ -240,7 +241,7 @@
 }
 
 static bool
-instance_read(plat_instance_t *i, const json_t *o)
+parse_instance(plat_instance_t *i, const json_t *o)
 {
     const char *state = json_string_value(json_object_get(o, "state"));
 
@@ -262,7 +263,7 @@
                err_t *e)
 {
     const http_call_t c = {.path = "/v1/instances",
-                           .timeout_ms = CALL_MS,
+                           .timeout_ms = CALL_TIMEOUT_MS,
                            .step = "platform list"};
     const json_t *list, *entry;
     http_reply_t r;
@@ -278,11 +279,11 @@
     list = json_object_get(body, "instances");
     if (!json_is_array(list)) {
         json_decref(body);
-        return fail(p, &c, &r, e);
+        return protocol_error(p, &c, &r, e);
     }
     json_array_foreach(list, at, entry)
     {
-        if (*n < cap && instance_read(&out[*n], entry)) {
+        if (*n < cap && parse_instance(&out[*n], entry)) {
             (*n)++;
         }
     }
@@ -296,7 +297,7 @@
     char ret[ADDR_STRLEN], peer[ADDR_STRLEN], bulk[ADDR_STRLEN];
     http_call_t c = {.method = HTTP_POST,
                      .path = "/v1/instances",
-                     .timeout_ms = CALL_MS,
+                     .timeout_ms = CALL_TIMEOUT_MS,
                      .step = "platform register"};
     http_reply_t r;
     json_t *o;
@@ -321,7 +322,7 @@
     if (rc < 0) {
         return rc;
     }
-    return r.status == 200 ? 0 : fail(p, &c, &r, e);
+    return r.status == 200 ? 0 : protocol_error(p, &c, &r, e);
 }
 
 int
@@ -330,7 +331,7 @@
     char path[PATH_LEN];
     const http_call_t c = {.method = HTTP_DELETE,
                            .path = path,
-                           .timeout_ms = CALL_MS,
+                           .timeout_ms = CALL_TIMEOUT_MS,
                            .step = "platform deregister"};
     http_reply_t r;
     int rc;
@@ -340,5 +341,6 @@
     if (rc < 0) {
         return rc;
     }
-    return r.status == 200 || r.status == 404 ? 0 : fail(p, &c, &r, e);
+    return r.status == 200 || r.status == 404 ? 0
+                                              : protocol_error(p, &c, &r, e);
 }
--- a/plat/delta.c
+++ b/plat/delta.c
@@ -13,14 +13,14 @@
 
 #define MAGIC "SKD1"
 #define MAGIC_LEN 4
-#define OLD_HASH_AT MAGIC_LEN
-#define NEW_HASH_AT (OLD_HASH_AT + 8)
-#define LENGTH_AT (NEW_HASH_AT + 8)
-#define HEADER_LEN (LENGTH_AT + 4)
-#define LEVEL 3
+#define OLD_HASH_OFFSET MAGIC_LEN
+#define NEW_HASH_OFFSET (OLD_HASH_OFFSET + 8)
+#define LENGTH_OFFSET (NEW_HASH_OFFSET + 8)
+#define HEADER_LEN (LENGTH_OFFSET + 4)
+#define COMPRESSION_LEVEL 3
 #define WINDOW_LOG_MIN 17
 #define WINDOW_LOG_MAX 26 /* a prefix and a text of BLOB_MAX each */
-#define SEED 0x534b4431u
+#define HASH_SEED 0x534b4431u
 
 void
 blob_free(blob_t *b)
@@ -32,11 +32,11 @@
 static uint64_t
 blob_hash(const blob_t *b)
 {
-    return hash64(b->data, b->len, SEED + b->len);
+    return hash64(b->data, b->len, HASH_SEED + b->len);
 }
 
 static void
-put_number(uint8_t *to, uint64_t v, int bytes)
+put_le(uint8_t *to, uint64_t v, int bytes)
 {
     for (int i = 0; i < bytes; i++) {
         to[i] = (uint8_t)(v >> (8 * i));
@@ -44,7 +44,7 @@
 }
 
 static uint64_t
-get_number(const uint8_t *from, int bytes)
+get_le(const uint8_t *from, int bytes)
 {
     uint64_t v = 0;
 
@@ -56,7 +56,7 @@
 
 /* Room for LEN bytes and a NUL behind them, so that a text is a string. */
 static int
-reserve(blob_t *b, size_t len)
+alloc_blob(blob_t *b, size_t len)
 {
     b->data = malloc(len + 1);
     if (b->data == NULL) {
@@ -73,9 +73,9 @@
 write_header(uint8_t *to, const blob_t *old, const blob_t *new_)
 {
     memcpy(to, MAGIC, MAGIC_LEN);
-    put_number(to + OLD_HASH_AT, blob_hash(old), 8);
-    put_number(to + NEW_HASH_AT, blob_hash(new_), 8);
-    put_number(to + LENGTH_AT, new_->len, 4);
+    put_le(to + OLD_HASH_OFFSET, blob_hash(old), 8);
+    put_le(to + NEW_HASH_OFFSET, blob_hash(new_), 8);
+    put_le(to + LENGTH_OFFSET, new_->len, 4);
 }
 
 /* The window reaches from the end of the new bytes to the start of the old:
@@ -92,14 +92,14 @@
 }
 
 static ZSTD_CCtx *
-compressor(const blob_t *old, const blob_t *new_)
+create_compressor(const blob_t *old, const blob_t *new_)
 {
     ZSTD_CCtx *z = ZSTD_createCCtx();
 
     if (z == NULL) {
         return NULL;
     }
-    ZSTD_CCtx_setParameter(z, ZSTD_c_compressionLevel, LEVEL);
+    ZSTD_CCtx_setParameter(z, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
     ZSTD_CCtx_setParameter(z, ZSTD_c_checksumFlag, 1);
     ZSTD_CCtx_setParameter(z, ZSTD_c_windowLog,
                            window_log(old->len + new_->len));
@@ -114,7 +114,7 @@
 int
 delta_make(const blob_t *old, const blob_t *new_, blob_t *out)
 {
-    size_t room = ZSTD_compressBound(new_->len);
+    size_t bound = ZSTD_compressBound(new_->len);
     ZSTD_CCtx *z;
     size_t n;
 
@@ -122,13 +122,14 @@
     if (old->len > BLOB_MAX || new_->len > BLOB_MAX) {
         return -EFBIG;
     }
-    z = compressor(old, new_);
-    if (z == NULL || reserve(out, HEADER_LEN + room) < 0) {
+    z = create_compressor(old, new_);
+    if (z == NULL || alloc_blob(out, HEADER_LEN + bound) < 0) {
         ZSTD_freeCCtx(z);
         return -ENOMEM;
     }
     write_header(out->data, old, new_);
-    n = ZSTD_compress2(z, out->data + HEADER_LEN, room, new_->data, new_->len);
+    n = ZSTD_compress2(z, out->data + HEADER_LEN, bound, new_->data,
+                       new_->len);
     ZSTD_freeCCtx(z);
     if (ZSTD_isError(n)) {
         blob_free(out);
@@ -151,10 +152,10 @@
     if (delta->len < HEADER_LEN || memcmp(p, MAGIC, MAGIC_LEN) != 0) {
         return -EBADMSG;
     }
-    if (get_number(p + OLD_HASH_AT, 8) != blob_hash(old)) {
+    if (get_le(p + OLD_HASH_OFFSET, 8) != blob_hash(old)) {
         return -EBADMSG; /* made for another version */
     }
-    len = get_number(p + LENGTH_AT, 4);
+    len = get_le(p + LENGTH_OFFSET, 4);
     if (len > limit || len > BLOB_MAX ||
         ZSTD_getFrameContentSize(p + HEADER_LEN, delta->len - HEADER_LEN) !=
             len) {
@@ -164,7 +165,7 @@
 }
 
 static bool
-expand(const blob_t *old, const blob_t *delta, blob_t *out)
+decompress(const blob_t *old, const blob_t *delta, blob_t *out)
 {
     ZSTD_DCtx *z = ZSTD_createDCtx();
     size_t n;
@@ -180,7 +181,7 @@
                             delta->len - HEADER_LEN);
     ZSTD_freeDCtx(z);
     return n == out->len &&
-           get_number(delta->data + NEW_HASH_AT, 8) == blob_hash(out);
+           get_le(delta->data + NEW_HASH_OFFSET, 8) == blob_hash(out);
 }
 
 int
@@ -192,10 +193,10 @@
     if (len < 0) {
         return (int)len;
     }
-    if (reserve(out, (size_t)len) < 0) {
+    if (alloc_blob(out, (size_t)len) < 0) {
         return -ENOMEM;
     }
-    if (!expand(old, delta, out)) {
+    if (!decompress(old, delta, out)) {
         blob_free(out);
         return -EBADMSG;
     }
--- a/plat/http.c
+++ b/plat/http.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECT_MS 1000
+#define CONNECT_TIMEOUT_MS 1000
 #define REPLY_MAX (8 * 1024 * 1024)
 
 struct http {
@@ -19,7 +19,7 @@
     size_t len, cap;
 };
 
-static pthread_once_t once = PTHREAD_ONCE_INIT;
+static pthread_once_t curl_once = PTHREAD_ONCE_INIT;
 
 static void
 init_curl(void)
@@ -32,7 +32,7 @@
 {
     http_t *h = calloc(1, sizeof(*h));
 
-    pthread_once(&once, init_curl);
+    pthread_once(&curl_once, init_curl);
     if (h == NULL || strlen(url) >= sizeof(h->url)) {
         free(h);
         return NULL;
@@ -60,7 +60,7 @@
 }
 
 static size_t
-take(char *data, size_t size, size_t n, void *arg)
+append_body(char *data, size_t size, size_t n, void *arg)
 {
     http_t *h = arg;
     size_t len = size * n;
@@ -112,8 +112,8 @@
     curl_easy_setopt(c, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(
         c, CURLOPT_CONNECTTIMEOUT_MS,
-        (long)(call->connect_ms > 0 ? call->connect_ms : CONNECT_MS));
-    curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, take);
+        (long)(call->connect_ms > 0 ? call->connect_ms : CONNECT_TIMEOUT_MS));
+    curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(c, CURLOPT_WRITEDATA, h);
     if (call->packed) {
         curl_easy_setopt(c, CURLOPT_ACCEPT_ENCODING, "zstd");
@@ -132,7 +132,7 @@
 }
 
 static int
-error_number(CURLcode rc)
+curl_errno(CURLcode rc)
 {
     switch (rc) {
     case CURLE_OK:
@@ -154,17 +154,17 @@
 
 /* How far an answer has come. */
 typedef struct {
-    curl_off_t bytes; /* of its body, as sent */
-    ms_t first;       /* when its first bytes came; MS_NEVER: none did */
-    ms_t until;       /* the call fails then */
+    curl_off_t bytes;   /* of its body, as sent */
+    ms_t first_byte_at; /* when its first bytes came; MS_NEVER: none did */
+    ms_t deadline;      /* the call fails then */
 } progress_t;
 
 /* A long answer over a slow link may take several times as long as its first
  * bytes.  Cut off in the middle and asked for again, it would load the link
  * with what was sent already. */
 static void
-note_progress(const http_t *h, const http_call_t *call, ms_t now,
-              progress_t *p)
+update_progress(const http_t *h, const http_call_t *call, ms_t now,
+                progress_t *p)
 {
     curl_off_t bytes = 0;
     ms_t last, stalled = now + call->stall_ms;
@@ -176,9 +176,9 @@
         return;
     }
     p->bytes = bytes;
-    p->first = p->first == MS_NEVER ? now : p->first;
-    last = p->first + HTTP_TRANSFER_MAX_MS;
-    p->until = stalled < last ? stalled : last;
+    p->first_byte_at = p->first_byte_at == MS_NEVER ? now : p->first_byte_at;
+    last = p->first_byte_at + HTTP_TRANSFER_MAX_MS;
+    p->deadline = stalled < last ? stalled : last;
     if (call->on_progress != NULL) {
         long status = 0;
         curl_easy_getinfo(h->curl, CURLINFO_RESPONSE_CODE, &status);
@@ -188,7 +188,7 @@
 
 /* The result of the transfer that has ended. */
 static CURLcode
-result(http_t *h)
+transfer_result(http_t *h)
 {
     int left;
     CURLMsg *m = curl_multi_info_read(h->multi, &left);
@@ -201,30 +201,31 @@
 perform(http_t *h, const http_call_t *call, ms_t *transfer_ms)
 {
     ms_t now = clock_now();
-    progress_t p = {.first = MS_NEVER, .until = now + call->timeout_ms};
+    progress_t p = {.first_byte_at = MS_NEVER,
+                    .deadline = now + call->timeout_ms};
     CURLcode rc = CURLE_OPERATION_TIMEDOUT;
     int running = 1;
 
     if (curl_multi_add_handle(h->multi, h->curl) != CURLM_OK) {
         return CURLE_OUT_OF_MEMORY;
     }
-    while (now < p.until) {
+    while (now < p.deadline) {
         if (curl_multi_perform(h->multi, &running) != CURLM_OK) {
             rc = CURLE_OUT_OF_MEMORY;
             break;
         }
         now = clock_now();
-        note_progress(h, call, now, &p);
+        update_progress(h, call, now, &p);
         if (running == 0) {
-            rc = result(h);
+            rc = transfer_result(h);
             break;
         }
-        if (now < p.until) {
-            curl_multi_poll(h->multi, NULL, 0, (int)(p.until - now), NULL);
+        if (now < p.deadline) {
+            curl_multi_poll(h->multi, NULL, 0, (int)(p.deadline - now), NULL);
             now = clock_now();
         }
     }
-    *transfer_ms = p.first == MS_NEVER ? 0 : now - p.first;
+    *transfer_ms = p.first_byte_at == MS_NEVER ? 0 : now - p.first_byte_at;
     curl_multi_remove_handle(h->multi, h->curl);
     return rc;
 }
@@ -237,7 +238,7 @@
 
     *r = (http_reply_t){0};
     h->len = 0;
-    if (take("", 0, 0, h) != 0 || h->body == NULL) {
+    if (append_body("", 0, 0, h) != 0 || h->body == NULL) {
         return err_set(e, -ENOMEM, call->step, h->url, "Out of memory.");
     }
     if ((size_t)snprintf(url, sizeof(url), "%s%s", h->url, call->path) >=
@@ -248,7 +249,7 @@
     set_options(h, url, call);
     rc = perform(h, call, &r->transfer_ms);
     if (rc != CURLE_OK) {
-        return err_set(e, error_number(rc), call->step, h->url, "%s",
+        return err_set(e, curl_errno(rc), call->step, h->url, "%s",
                        curl_easy_strerror(rc));
     }
     curl_easy_getinfo(h->curl, CURLINFO_RESPONSE_CODE, &r->status);
--- a/plat/parts.c
+++ b/plat/parts.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VARIANT sodium_base64_VARIANT_ORIGINAL
+#define BASE64_VARIANT sodium_base64_VARIANT_ORIGINAL
 
 void
 part_hash(uint8_t hash[PART_HASH_LEN], const char *text, size_t len)
@@ -20,39 +20,40 @@
 {
     const blob_t none = {0};
     const blob_t plain = {(uint8_t *)text, len};
-    blob_t packed;
-    size_t room;
+    blob_t compressed;
+    size_t cap;
     char *stored;
 
-    if (delta_make(&none, &plain, &packed) < 0) {
+    if (delta_make(&none, &plain, &compressed) < 0) {
         return NULL;
     }
-    room = sodium_base64_encoded_len(packed.len, VARIANT);
-    stored = malloc(room);
+    cap = sodium_base64_encoded_len(compressed.len, BASE64_VARIANT);
+    stored = malloc(cap);
     if (stored != NULL) {
-        sodium_bin2base64(stored, room, packed.data, packed.len, VARIANT);
+        sodium_bin2base64(stored, cap, compressed.data, compressed.len,
+                          BASE64_VARIANT);
     }
-    blob_free(&packed);
+    blob_free(&compressed);
     return stored;
 }
 
 static int
-unpack(const char *stored, blob_t *plain)
+decompress_part(const char *stored, blob_t *plain)
 {
     const blob_t none = {0};
-    size_t room = strlen(stored);
-    blob_t packed = {.data = malloc(room + 1)};
+    size_t cap = strlen(stored);
+    blob_t compressed = {.data = malloc(cap + 1)};
     int rc = -EBADMSG;
 
     *plain = (blob_t){0};
-    if (packed.data == NULL) {
+    if (compressed.data == NULL) {
         return -ENOMEM;
     }
-    if (sodium_base642bin(packed.data, room, stored, room, NULL, &packed.len,
-                          NULL, VARIANT) == 0) {
-        rc = delta_apply(&none, &packed, PART_LEN, plain);
+    if (sodium_base642bin(compressed.data, cap, stored, cap, NULL,
+                          &compressed.len, NULL, BASE64_VARIANT) == 0) {
+        rc = delta_apply(&none, &compressed, PART_LEN, plain);
     }
-    blob_free(&packed);
+    blob_free(&compressed);
     return rc;
 }
 
@@ -76,7 +77,7 @@
 {
     uint8_t got[PART_HASH_LEN];
     blob_t plain;
-    int rc = unpack(stored, &plain);
+    int rc = decompress_part(stored, &plain);
 
     if (rc < 0) {
         return rc;
--- a/plat/slots.c
+++ b/plat/slots.c
@@ -19,7 +19,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOST_MAX 4 /* writes without an answer before it gives up */
+#define UNANSWERED_MAX 4 /* writes without an answer before it gives up */
 
 typedef struct {
     plat_t *p;
@@ -28,13 +28,13 @@
     uint64_t version;
     uint32_t start; /* the slot tried first; differs between writers */
     bool tried[SLOTS];
-    int lost;
+    int unanswered;
     err_t *e;
 } writer_t;
 
 /* The slot of the part with this hash, or -1. */
 static int
-find(const layout_t *l, const uint8_t hash[PART_HASH_LEN])
+find_slot(const layout_t *l, const uint8_t hash[PART_HASH_LEN])
 {
     for (size_t i = 0; i < l->n; i++) {
         if (memcmp(l->part[i].hash, hash, PART_HASH_LEN) == 0) {
@@ -56,25 +56,25 @@
 }
 
 static bool
-is_free(const writer_t *w, uint32_t slot, bool give_up_history)
+is_free(const writer_t *w, uint32_t slot, bool evict_history)
 {
     uint64_t last = w->cur->last_used[slot];
 
     if (w->tried[slot] || in_use(w->cur, slot) || in_use(w->next, slot)) {
         return false;
     }
-    return give_up_history || last == 0 || last + PLAT_HISTORY < w->version;
+    return evict_history || last == 0 || last + PLAT_HISTORY < w->version;
 }
 
 /* A free slot, or -1.  Earlier versions are given up only when there is no
  * other way: a reader of them is told that they are no longer kept. */
 static int
-choose(writer_t *w)
+allocate_slot(writer_t *w)
 {
-    for (int give_up = 0; give_up < 2; give_up++) {
+    for (int evict = 0; evict < 2; evict++) {
         for (uint32_t i = 0; i < SLOTS; i++) {
             uint32_t slot = (w->start + i) % SLOTS;
-            if (is_free(w, slot, give_up > 0)) {
+            if (is_free(w, slot, evict > 0)) {
                 w->tried[slot] = true;
                 return (int)slot;
             }
@@ -87,7 +87,8 @@
  * earlier try of this writer or of another?  At a revision that the head in
  * force doesn't know, nobody can overwrite it without fencing this writer. */
 static bool
-holds(writer_t *w, uint32_t slot, const char *key, const part_t *part)
+already_written(writer_t *w, uint32_t slot, const char *key,
+                const part_t *part)
 {
     blob_t text = {0};
     uint64_t revision;
@@ -110,7 +111,7 @@
 
 /* One try.  -EAGAIN: the slot is taken, or may be. */
 static int
-put(writer_t *w, uint32_t slot, const part_t *part, const char *stored)
+put_part(writer_t *w, uint32_t slot, const part_t *part, const char *stored)
 {
     uint64_t revision = 0;
     char key[64];
@@ -124,24 +125,24 @@
     if (rc != -EAGAIN && rc != -EIO && rc != -ETIMEDOUT) {
         return rc;
     }
-    if (holds(w, slot, key, part)) {
+    if (already_written(w, slot, key, part)) {
         return 0;
     }
-    return rc == -EAGAIN || ++w->lost < LOST_MAX ? -EAGAIN : rc;
+    return rc == -EAGAIN || ++w->unanswered < UNANSWERED_MAX ? -EAGAIN : rc;
 }
 
 static int
-put_somewhere(writer_t *w, part_t *part, const char *stored)
+put_in_free_slot(writer_t *w, part_t *part, const char *stored)
 {
     int slot, rc;
 
     do {
-        slot = choose(w);
+        slot = allocate_slot(w);
         if (slot < 0) {
             return err_set(w->e, -ENOSPC, "platform write", "texts",
                            "other writers have taken each free slot");
         }
-        rc = put(w, (uint32_t)slot, part, stored);
+        rc = put_part(w, (uint32_t)slot, part, stored);
     } while (rc == -EAGAIN);
     part->slot = (uint32_t)slot;
     return rc;
@@ -156,7 +157,7 @@
     if (stored == NULL) {
         return -ENOMEM;
     }
-    rc = put_somewhere(w, part, stored);
+    rc = put_in_free_slot(w, part, stored);
     if (rc < 0) {
         free(stored);
         return rc;
@@ -166,7 +167,7 @@
 }
 
 static int
-place_part(writer_t *w, const char *text, size_t len)
+add_part(writer_t *w, const char *text, size_t len)
 {
     part_t part;
     int slot, rc = 0;
@@ -177,8 +178,8 @@
                        PARTS_MAX, PART_LEN);
     }
     part_hash(part.hash, text, len);
-    slot = find(w->cur, part.hash);
-    slot = slot >= 0 ? slot : find(w->next, part.hash);
+    slot = find_slot(w->cur, part.hash);
+    slot = slot >= 0 ? slot : find_slot(w->next, part.hash);
     if (slot >= 0) {
         part.slot = (uint32_t)slot;
     }
@@ -193,20 +194,20 @@
 }
 
 static int
-place_text(writer_t *w, const char *text)
+add_text(writer_t *w, const char *text)
 {
     size_t len = strlen(text);
     int rc = 0;
 
     for (size_t at = 0; rc == 0 && (at < len || at == 0); at += PART_LEN) {
-        rc = place_part(w, text + at,
+        rc = add_part(w, text + at,
                         len - at < PART_LEN ? len - at : PART_LEN);
     }
     return rc;
 }
 
 static bool
-fits_head(const conf_bundle_t *b)
+fits_in_head(const conf_bundle_t *b)
 {
     size_t len = 0;
 
@@ -233,11 +234,11 @@
     *next = (layout_t){0};
     memcpy(next->revision, cur->revision, sizeof(next->revision));
     memcpy(next->last_used, cur->last_used, sizeof(next->last_used));
-    if (fits_head(b)) {
+    if (fits_in_head(b)) {
         return 0;
     }
     for (size_t i = 0; rc == 0 && i < b->n; i++) {
-        rc = place_text(&w, b->text[i]);
+        rc = add_text(&w, b->text[i]);
         next->end[i] = next->n;
     }
     return rc;
--- a/plat/store.c
+++ b/plat/store.c
@@ -16,7 +16,7 @@
 #define HASH_TEXT_LEN (2 * PART_HASH_LEN)
 
 static int
-fail_form(err_t *e, const char *what)
+format_error(err_t *e, const char *what)
 {
     return err_set(e, -EBADMSG, STEP, "configuration",
                    "%s; expected a stored configuration", what);
@@ -114,7 +114,7 @@
 }
 
 static bool
-knows_slots(const layout_t *l)
+has_slot_revisions(const layout_t *l)
 {
     static const uint64_t none[SLOTS];
 
@@ -130,7 +130,7 @@
     if (l->n > 0) {
         json_object_set_new(o, "files", files_json(b, l));
     }
-    if (o != NULL && knows_slots(l)) {
+    if (o != NULL && has_slot_revisions(l)) {
         json_object_set_new(o, "slots", slots_json(l));
     }
     text = json_dumps(o, JSON_COMPACT);
@@ -179,11 +179,11 @@
     int rc = 0;
 
     if (file == NULL || json_array_size(parts) == 0 || b->n == SOURCES_MAX) {
-        return fail_form(e, "a file has no name or parts");
+        return format_error(e, "a file has no name or parts");
     }
     for (size_t i = 0; rc == 0 && i < json_array_size(parts); i++) {
         rc = read_part(l, json_array_get(parts, i));
-        rc = rc < 0 ? fail_form(e, "a part doesn't fit")
+        rc = rc < 0 ? format_error(e, "a part doesn't fit")
                     : fetch_part(p, &l->part[l->n - 1], &text, e);
     }
     if (rc == 0) {
@@ -204,7 +204,7 @@
         rc = read_file(p, json_array_get(files, i), b, l, e);
     }
     if (rc == 0 && bundle_hash(b) != b->hash) {
-        rc = fail_form(e, "the texts don't have the hash that they name");
+        rc = format_error(e, "the texts don't have the hash that they name");
     }
     if (rc == 0) {
         cache_prune(plat_cache(p), l);
@@ -219,7 +219,7 @@
     const json_t *slots = json_object_get(o, "slots");
 
     if (slots != NULL && read_slots(l, slots) < 0) {
-        return fail_form(e, "the slots don't fit");
+        return format_error(e, "the slots don't fit");
     }
     return json_object_get(o, "files") != NULL ? read_files(p, o, b, l, e)
                                                : bundle_read(b, head, e);
--- a/plat/versions.c
+++ b/plat/versions.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const blob_t nothing;
+static const blob_t empty_blob;
 
 void
 versions_free(versions_t *v)
@@ -24,7 +24,7 @@
 
 /* Replaces TEXT by what STEP makes of it. */
 static int
-walk(blob_t *text, const step_t *step)
+apply_step(blob_t *text, const step_t *step)
 {
     blob_t next;
     int rc = delta_apply(text, &step->delta, BLOB_MAX, &next);
@@ -38,17 +38,17 @@
 
 /* The version that N steps lead to, whole. */
 static int
-whole_at(const versions_t *v, size_t n, step_t *out)
+full_step_at(const versions_t *v, size_t n, step_t *out)
 {
     blob_t text = {0};
-    int rc = walk(&text, &v->first);
+    int rc = apply_step(&text, &v->first);
 
     for (size_t i = 0; rc == 0 && i < n; i++) {
-        rc = walk(&text, &v->step[i]);
+        rc = apply_step(&text, &v->step[i]);
     }
     if (rc == 0) {
         *out = v->step[n - 1];
-        rc = delta_make(&nothing, &text, &out->delta);
+        rc = delta_make(&empty_blob, &text, &out->delta);
     }
     blob_free(&text);
     return rc;
@@ -57,7 +57,7 @@
 /* Drops the older half.  By halves, because a new first version has to be
  * worked out and compressed whole. */
 static int
-make_room(versions_t *v)
+drop_older_half(versions_t *v)
 {
     const size_t half = STEPS_MAX / 2;
     step_t first;
@@ -66,7 +66,7 @@
     if (v->n < STEPS_MAX) {
         return 0;
     }
-    rc = whole_at(v, half, &first);
+    rc = full_step_at(v, half, &first);
     if (rc < 0) {
         return rc;
     }
@@ -82,10 +82,10 @@
 }
 
 static int
-add(versions_t *v, uint64_t version, ms_t at, const blob_t *json)
+add_step(versions_t *v, uint64_t version, ms_t at, const blob_t *json)
 {
     step_t step = {.version = version, .at = at};
-    int rc = make_room(v);
+    int rc = drop_older_half(v);
 
     if (rc == 0) {
         rc = delta_make(&v->json, json, &step.delta);
@@ -106,7 +106,7 @@
 versions_add(versions_t *v, uint64_t version, ms_t at, char *json)
 {
     blob_t text = {(uint8_t *)json, strlen(json)};
-    int rc = version > v->version ? add(v, version, at, &text) : -ESTALE;
+    int rc = version > v->version ? add_step(v, version, at, &text) : -ESTALE;
 
     if (rc < 0) {
         blob_free(&text);
@@ -120,7 +120,7 @@
 
 /* How many steps lead to HAVE, or -1: it isn't kept. */
 static int
-steps_before(const versions_t *v, uint64_t have)
+steps_to_version(const versions_t *v, uint64_t have)
 {
     if (have == v->first.version) {
         return 0;
@@ -144,7 +144,7 @@
     if (have >= v->version) {
         return 0;
     }
-    from = steps_before(v, have);
+    from = steps_to_version(v, have);
     if (from < 0) {
         *whole = true;
         out[n++] = &v->first;
--- a/test/delta_test.cc
+++ b/test/delta_test.cc
@@ -14,7 +14,7 @@
 }
 
 static std::string
-take(blob_t b)
+take_text(blob_t b)
 {
     std::string s((const char *)b.data, b.len);
     blob_free(&b);
@@ -22,24 +22,24 @@
 }
 
 static std::string
-diffed(const std::string &old, const std::string &next)
+make_delta(const std::string &old, const std::string &next)
 {
     blob_t a = blob(old), b = blob(next), out;
     EXPECT_EQ(0, delta_make(&a, &b, &out));
-    return take(out);
+    return take_text(out);
 }
 
 // The new bytes, or the error as text.
 static std::string
-applied(const std::string &old, const std::string &delta,
-        size_t limit = BLOB_MAX)
+apply_delta(const std::string &old, const std::string &delta,
+            size_t limit = BLOB_MAX)
 {
     blob_t a = blob(old), d = blob(delta), out;
     int rc = delta_apply(&a, &d, limit, &out);
-    return rc == 0 ? take(out) : std::to_string(rc);
+    return rc == 0 ? take_text(out) : std::to_string(rc);
 }
 
-static const std::string refused = std::to_string(-EBADMSG);
+static const std::string rejected = std::to_string(-EBADMSG);
 
 // N upstreams; one of them at another port.
 static std::string
@@ -70,7 +70,7 @@
 {
     auto old = text_of(*rc::gen::inRange(0, 300), -1);
     auto next = edited(old);
-    RC_ASSERT(applied(old, diffed(old, next)) == next);
+    RC_ASSERT(apply_delta(old, make_delta(old, next)) == next);
 }
 
 RC_GTEST_PROP(Delta, OnAnotherBaseIsRefused, ())
@@ -78,7 +78,7 @@
     auto old = *rc::gen::arbitrary<std::string>();
     auto other = *rc::gen::arbitrary<std::string>();
     RC_PRE(old != other);
-    RC_ASSERT(applied(other, diffed(old, text_of(9, 1))) == refused);
+    RC_ASSERT(apply_delta(other, make_delta(old, text_of(9, 1))) == rejected);
 }
 
 // A changed byte may stand where no reader looks; it never changes the
@@ -86,28 +86,29 @@
 RC_GTEST_PROP(Delta, NoChangedBytesBreakTheReader, ())
 {
     auto old = text_of(60, -1), next = text_of(60, 7);
-    auto delta = edited(diffed(old, next));
-    auto got = applied(old, delta);
-    RC_ASSERT(got == next || got == refused);
+    auto delta = edited(make_delta(old, next));
+    auto got = apply_delta(old, delta);
+    RC_ASSERT(got == next || got == rejected);
 }
 
 RC_GTEST_PROP(Delta, NoBytesBreakTheReader, (const std::string &bytes))
 {
-    RC_ASSERT(applied("", bytes) == refused);
-    RC_ASSERT(applied("", diffed("", "").substr(0, 4) + bytes) == refused);
+    RC_ASSERT(apply_delta("", bytes) == rejected);
+    RC_ASSERT(apply_delta("", make_delta("", "").substr(0, 4) + bytes) ==
+              rejected);
 }
 
 // A peer sends few bytes that would fill the memory.
 TEST(Delta, TakesNoMoreThanTheLimit)
 {
     std::string zeros(1 << 20, '0');
-    auto delta = diffed("", zeros);
+    auto delta = make_delta("", zeros);
     EXPECT_LT(delta.size(), 200u);
-    EXPECT_EQ(refused, applied("", delta, zeros.size() - 1));
-    EXPECT_EQ(zeros, applied("", delta, zeros.size()));
+    EXPECT_EQ(rejected, apply_delta("", delta, zeros.size() - 1));
+    EXPECT_EQ(zeros, apply_delta("", delta, zeros.size()));
     std::string forged = delta;
     forged[20] = 1; // the length that the header names
-    EXPECT_EQ(refused, applied("", forged));
+    EXPECT_EQ(rejected, apply_delta("", forged));
 }
 
 // The old bytes are far longer than a usual window: the match for the first
@@ -115,8 +116,8 @@
 TEST(Delta, OfOneChangeIsSmallHoweverLongTheText)
 {
     auto old = text_of(100000, -1);
-    EXPECT_LT(diffed(old, text_of(100000, 3)).size(), 1000u);
-    EXPECT_LT(diffed(old, text_of(100000, 99990)).size(), 1000u);
+    EXPECT_LT(make_delta(old, text_of(100000, 3)).size(), 1000u);
+    EXPECT_LT(make_delta(old, text_of(100000, 99990)).size(), 1000u);
 }
 
 // ---- Versions ----
@@ -157,7 +158,7 @@
     std::string text = whole || have == 0 ? "" : text_at(have);
     for (size_t i = 0; i < n; i++) {
         const blob_t &d = step[i]->delta;
-        text = applied(text, std::string((char *)d.data, d.len));
+        text = apply_delta(text, std::string((char *)d.data, d.len));
         RC_ASSERT(text == text_at(step[i]->version));
         RC_ASSERT(step[i]->at == (ms_t)step[i]->version * 10);
     }
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-const int PIECES = 40;
-const std::string PIECE(100, 'x');
+const int CHUNKS = 40;
+const std::string CHUNK(100, 'x');
 
 /* Answers one request: SEND pieces of PIECES, GAP apart, then waits until the
  * caller closes. */
 class Server {
   public:
-    Server(int send_pieces, int gap_ms) : pieces(send_pieces), gap(gap_ms)
+    Server(int send_chunks, int gap_ms) : chunks(send_chunks), gap(gap_ms)
     {
         struct sockaddr_in a = {};
         socklen_t len = sizeof(a);
@@ -53,12 +53,12 @@
         char buf[1024];
         int c = accept(fd, NULL, NULL);
         EXPECT_GT(recv(c, buf, sizeof(buf), 0), 0);
-        if (pieces > 0) {
+        if (chunks > 0) {
             put(c, "HTTP/1.1 200 OK\r\nContent-Length: " +
-                       std::to_string(PIECES * PIECE.size()) + "\r\n\r\n");
+                       std::to_string(CHUNKS * CHUNK.size()) + "\r\n\r\n");
         }
-        for (int i = 0; i < pieces; i++) {
-            put(c, PIECE);
+        for (int i = 0; i < chunks; i++) {
+            put(c, CHUNK);
             usleep((useconds_t)gap * 1000);
         }
         struct pollfd p = {c, POLLIN, 0};
@@ -66,7 +66,7 @@
         close(c);
     }
 
-    int pieces, gap, fd;
+    int chunks, gap, fd;
     std::thread thread;
 };
 
@@ -93,16 +93,16 @@
  * without end. */
 TEST(Http, AnAnswerThatGoesOnIsWaitedFor)
 {
-    Server s(PIECES, 50); /* 2 s */
+    Server s(CHUNKS, 50); /* 2 s */
     std::string body;
 
     EXPECT_EQ(0, call(s.url, 1000, 3000, &body));
-    EXPECT_EQ(PIECES * PIECE.size(), body.size());
+    EXPECT_EQ(CHUNKS * CHUNK.size(), body.size());
 }
 
 TEST(Http, WithoutAStallItMustEndInTime)
 {
-    Server s(PIECES, 50);
+    Server s(CHUNKS, 50);
 
     EXPECT_EQ(-ETIMEDOUT, call(s.url, 1000, 0));
 }
@@ -111,7 +111,7 @@
  */
 TEST(Http, AnAnswerThatStopsFails)
 {
-    Server s(PIECES / 2, 0);
+    Server s(CHUNKS / 2, 0);
 
     EXPECT_EQ(-ETIMEDOUT, call(s.url, 1000, 500));
 }
@@ -127,11 +127,11 @@
  */
 TEST(Http, TheProgressOfAnAnswerIsTold)
 {
-    Server s(PIECES / 2, 10); /* it never ends */
+    Server s(CHUNKS / 2, 10); /* it never ends */
     http_t *h = http_new(s.url.c_str());
     http_call_t c = {};
     http_reply_t r;
-    int told = 0;
+    int progress_calls = 0;
 
     c.path = "/";
     c.timeout_ms = 1000;
@@ -141,16 +141,16 @@
         EXPECT_EQ(200, status);
         ++*static_cast<int *>(arg);
     };
-    c.arg = &told;
+    c.arg = &progress_calls;
     EXPECT_EQ(-ETIMEDOUT, http_call(h, &c, &r, NULL));
-    EXPECT_GE(told, 2);
+    EXPECT_GE(progress_calls, 2);
     http_free(h);
 }
 
 /* Guards against: a server that sends a byte now and then for ever. */
 TEST(Http, AnAnswerWithoutEndFails)
 {
-    Server s(PIECES, 200); /* 8 s */
+    Server s(CHUNKS, 200); /* 8 s */
 
     EXPECT_EQ(-ETIMEDOUT, call(s.url, 1000, 1000));
 }
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -246,16 +246,17 @@
 
 TEST_P(Plat, ErrorsNameStepAndPeer)
 {
-    plat_t *nowhere = plat_new("http://127.0.0.1:1");
+    plat_t *unreachable = plat_new("http://127.0.0.1:1");
     char *value;
     uint64_t rev;
     err_t e = {};
-    EXPECT_EQ(-ECONNREFUSED, plat_get(nowhere, "k", 0, 0, &value, &rev, &e));
+    EXPECT_EQ(-ECONNREFUSED,
+              plat_get(unreachable, "k", 0, 0, &value, &rev, &e));
     EXPECT_STREQ("platform read", e.step);
     EXPECT_STREQ("http://127.0.0.1:1", e.peer);
     Bundle x(4, "one");
-    EXPECT_EQ(-ECONNREFUSED, plat_apply(nowhere, &x.b, 0, NULL, &e));
-    plat_free(nowhere);
+    EXPECT_EQ(-ECONNREFUSED, plat_apply(unreachable, &x.b, 0, NULL, &e));
+    plat_free(unreachable);
 }
 
 TEST_P(Plat, VersionsFollowEachOther)
