--- a/plat/plat.h
+++ b/plat/plat.h
@@ -1,22 +1,24 @@
-/* plat: the client of the platform's key-value service, over HTTP and JSON
- * (libcurl, jansson).  Calls block; a thread of its own makes them.
+/* plat: client of the platform's key-value service, over HTTP and JSON
+ * (libcurl, jansson).  Calls block, so they are made on a dedicated thread.
  *
- * The service, as the stand-in si_platform speaks it (docs/PLATFORM.md):
+ * Protocol, as implemented by the stand-in si_platform (docs/PLATFORM.md):
  *   GET    /v1/kv/KEY                     200 {"value":"...","revision":7}
  *                                         404 {"revision":0}
- *   GET    /v1/kv/KEY?wait=MS&after=REV   the same, held until the key's
- *                                         revision passes REV or MS is over
+ *   GET    /v1/kv/KEY?wait=MS&after=REV   the same, as a long poll: answered
+ *                                         when the key's revision exceeds REV
+ *                                         or MS has elapsed
  *   PUT    /v1/kv/KEY?cas=REV             body: value.  200 {"revision":8}
- *                                         409 {"revision":7}; cas=0: absent
- *   POST   /v1/lease/NAME?owner=O&ms=N    200 {"owner":"O","ms":N}, taken or
- *                                         renewed; 409 {"owner":"X"}
+ *                                         409 {"revision":7}; cas=0: the key
+ *                                         must be absent
+ *   POST   /v1/lease/NAME?owner=O&ms=N    200 {"owner":"O","ms":N}, acquired
+ *                                         or renewed; 409 {"owner":"X"}
  *   DELETE /v1/lease/NAME?owner=O         200
  *   GET    /v1/instances                  200 {"instances":[{"name":...,
  *            "data_centre":...,"state":"live"|"leaving","service_ip":...,
  *            "return":"ip:port","peer":"ip:port","bulk":"ip:port"}]}
  *   POST   /v1/instances                  one such object: register or renew
  *   DELETE /v1/instances/NAME             200
- * Each call counts, a waiting one as one.
+ * Every HTTP request counts as one call, a long poll too.
  */
 #ifndef SISKIN_PLAT_H
 #define SISKIN_PLAT_H
@@ -29,40 +31,41 @@
 #endif
 
 #define PLAT_CONFIG_KEY "siskin/config"
-/* Earlier versions, each under the number that its version leaves over. */
+/* Earlier versions; the key's number is the version modulo PLAT_HISTORY. */
 #define PLAT_HISTORY_KEY "siskin/history/%u"
 #define PLAT_HISTORY 16
-/* Parts of long texts, in a ring of slots (plat/store.h). */
+/* Parts of long texts, in a fixed number of slots (plat/store.h). */
 #define PLAT_TEXT_KEY "siskin/text/%u"
-#define PLAT_VALUE_MAX (1000 * 1000) /* bytes the service holds in a value */
+#define PLAT_VALUE_MAX (1000 * 1000) /* bytes of a value, service limit */
 
 typedef struct plat plat_t;
 
-/* A client for one thread.  URL as "http://127.0.0.1:8500". */
+/* A client may be used by one thread only.  URL as "http://127.0.0.1:8500". */
 plat_t *plat_new(const char *url);
 void plat_free(plat_t *p);
-/* Calls made so far. */
+/* Total calls made. */
 uint64_t plat_calls(const plat_t *p);
-/* Bytes of bodies sent and received so far. */
+/* Total bytes of bodies sent and received. */
 uint64_t plat_bytes(const plat_t *p);
 
 /* Reads KEY into *VALUE (freed by the caller; NULL when absent) and *REVISION.
- * WAIT_MS > 0 waits until the revision passes AFTER.  -ETIMEDOUT or
- * -ECONNREFUSED and the like when the service is out of reach. */
+ * WAIT_MS > 0 waits up to that long for a revision greater than AFTER.
+ * -ETIMEDOUT, -ECONNREFUSED and similar when the service is unreachable. */
 int plat_get(plat_t *p, const char *key, ms_t wait_ms, uint64_t after,
              char **value, uint64_t *revision, err_t *e);
 
-/* Compare and swap.  -EAGAIN: another write came first.  -EIO, -ETIMEDOUT:
- * the outcome is unknown, read back. */
+/* Compare-and-swap on revision CAS; 0 for an absent key.  -EAGAIN: the
+ * revision differs, another write came first.  -EIO, -ETIMEDOUT: the outcome
+ * is unknown; read the key back. */
 int plat_put(plat_t *p, const char *key, const char *value, uint64_t cas,
              uint64_t *revision, err_t *e);
 
-/* Takes or renews a lease.  -EBUSY: another holds it. */
+/* Acquires or renews a lease.  -EBUSY: held by another owner. */
 int plat_lease(plat_t *p, const char *name, const char *owner, ms_t ms,
                err_t *e);
 int plat_lease_drop(plat_t *p, const char *name, const char *owner, err_t *e);
 
-/* One entry of the lagging list of instances. */
+/* One entry of the instance list, which lags behind the actual state. */
 typedef struct {
     char name[NAME_LEN];
     char data_centre[NAME_LEN];
@@ -78,10 +81,10 @@
 int plat_register(plat_t *p, const plat_instance_t *i, err_t *e);
 int plat_deregister(plat_t *p, const char *name, err_t *e);
 
-/* ---- Differences between versions, as bytes ---- */
+/* ---- Binary deltas between versions ---- */
 
-/* Bytes on the heap; those that these functions return have a NUL behind
- * them that LEN does not count. */
+/* Bytes on the heap.  Blobs returned by these functions are followed by a NUL
+ * that LEN does not include. */
 typedef struct {
     uint8_t *data;
     size_t len;
@@ -90,41 +93,44 @@
 #define BLOB_MAX (32u * 1024 * 1024)
 
 void blob_free(blob_t *b);
-/* What makes NEW_ of OLD, compressed; an empty OLD gives NEW_ whole.  -EFBIG:
- * one is longer than BLOB_MAX. */
+/* Creates the compressed delta from OLD to NEW_.  With an empty OLD the delta
+ * contains NEW_ in full.  -EFBIG: OLD or NEW_ is longer than BLOB_MAX. */
 int delta_make(const blob_t *old, const blob_t *new_, blob_t *out);
-/* Makes NEW_ again.  -EBADMSG: the bytes are no delta, or one for another OLD,
- * or give more than LIMIT bytes. */
+/* Reconstructs the new bytes from OLD and DELTA.  -EBADMSG: DELTA is
+ * malformed, was made for another OLD, or yields more than LIMIT bytes. */
 int delta_apply(const blob_t *old, const blob_t *delta, size_t limit,
                 blob_t *out);
 
-/* ---- The last versions, as peers get them ---- */
+/* ---- Recent versions, as sent to peers ---- */
 
-#define STEPS_MAX 8 /* differences kept; at least half as many versions */
+#define STEPS_MAX 8 /* deltas kept; never fewer than half of them once full   \
+                     */
 
-/* Makes VERSION of the one before it. */
+/* The delta from the preceding version to VERSION. */
 typedef struct {
     uint64_t version;
-    ms_t at; /* came into force here */
+    ms_t at; /* when it took effect on this instance */
     blob_t delta;
 } step_t;
 
-/* The newest bundle's JSON, and how to get to it from the last few. */
+/* The newest bundle's JSON, and the deltas from recent versions to it. */
 typedef struct {
     uint64_t version; /* 0: none yet */
     blob_t json;
-    step_t first; /* the oldest kept, whole */
-    bool dropped; /* there were versions before it */
+    step_t first; /* the oldest version kept, in full */
+    bool dropped; /* older versions have been dropped */
     size_t n;
     step_t step[STEPS_MAX];
 } versions_t;
 
 void versions_free(versions_t *v);
-/* Adds a newer version and takes JSON (malloc).  -ESTALE: it isn't newer. */
+/* Adds a newer version and takes ownership of JSON (malloc), also on failure.
+ * -ESTALE: VERSION is not newer. */
 int versions_add(versions_t *v, uint64_t version, ms_t at, char *json);
-/* The steps for a peer that has version HAVE, oldest first; the number is
- * returned, 0 when it has the newest.  The first is whole, and *WHOLE true,
- * when HAVE isn't among the versions kept.  Valid until the next add. */
+/* Stores in OUT the steps from version HAVE to the newest, oldest first, and
+ * returns their number, 0 when HAVE is the newest.  When HAVE is not among the
+ * versions kept, *WHOLE is set and the first step is a full version.  Pointers
+ * are valid until the next versions_add(). */
 size_t versions_steps(const versions_t *v, uint64_t have, bool *whole,
                       const step_t *out[STEPS_MAX + 1]);
 
@@ -132,7 +138,7 @@
 
 #define SOURCES_MAX 17 /* a base and 16 data centres */
 
-/* A version that came before, by the change that made it. */
+/* An earlier version and the ID of the change that created it. */
 typedef struct {
     uint64_t version;
     char change_id[CHANGE_ID_LEN];
@@ -140,51 +146,56 @@
 
 #define CHANGES_MAX 16
 
-/* As one JSON text: {"version":N,"change_id":"...","hash":"hex",
+/* A version of the configuration.  As JSON:
+ * {"version":N,"change_id":"...","hash":"hex",
  * "base":"...","overlays":{"brno-sal-a":"...",...},
  * "changes":[{"version":M,"change_id":"..."},...]}, newest change first.
- * A short one is stored so under PLAT_CONFIG_KEY; of a long one that key has
- * the head, and the texts lie in parts. */
+ * A short bundle is stored in this form under PLAT_CONFIG_KEY.  For a long one
+ * that key holds the head only, and the texts are stored in parts. */
 typedef struct {
     uint64_t version;
     uint64_t hash;
     char change_id[CHANGE_ID_LEN];
-    size_t n_changes; /* versions before this one, newest first */
+    size_t n_changes; /* earlier versions, newest first */
     conf_change_t changes[CHANGES_MAX];
     size_t n;
-    char *file[SOURCES_MAX]; /* "base" and the data centres, sorted */
+    char *file[SOURCES_MAX]; /* "base", then the data centres, sorted */
     char *text[SOURCES_MAX];
 } conf_bundle_t;
 
-/* JSON to bundle and back.  The hash is checked on reading: -EBADMSG. */
+/* Converts between JSON and bundle.  bundle_read() verifies the hash;
+ * -EBADMSG: malformed, or the hash does not match. */
 int bundle_read(conf_bundle_t *b, const char *json, err_t *e);
 char *bundle_write(const conf_bundle_t *b); /* malloc */
 void bundle_free(conf_bundle_t *b);
-/* A bundle, without version and change ID, of a base (SRC[0]) and overlays in
- * any order.  The texts are checked whole; errors as conf_parse()'s. */
+/* Creates a bundle, without version and change ID, from a base (SRC[0]) and
+ * overlays in any order.  The texts are validated together; errors as for
+ * conf_parse(). */
 int bundle_make(conf_bundle_t *b, const conf_source_t *src, size_t n,
                 err_t *e);
-/* The checked model of a bundle, with version, hash and change ID set. */
+/* The validated model of a bundle, with version, hash and change ID set. */
 conf_t *bundle_conf(const conf_bundle_t *b, err_t *e);
 
 /* Writes base and overlays as the next version.  The change ID makes the call
- * idempotent: when an answer is lost, the key is read back, and a version that
- * carries the ID counts as success.  -EAGAIN: another operator's version came
- * first; *THEIRS (if not NULL) receives it, and nothing was written.
+ * idempotent: when an answer is lost, the key is read back, and a version with
+ * that ID counts as success.
  * EXPECT is the version that the operator edited, 0 for none.
- * -EINVAL: B may not follow the version in force, or doesn't check.
- * -ECONNREFUSED, -EHOSTUNREACH: out of reach, nothing was written.
+ * -EAGAIN: another operator's version came first; *THEIRS (if not NULL)
+ * receives it, and nothing was written.
+ * -EINVAL: B is invalid or must not follow the version in force.
+ * -ECONNREFUSED, -EHOSTUNREACH: unreachable, nothing was written.
  * -EIO: the outcome is unknown; call again with the same change ID.
- * On success B has the version, which a later one may have followed. */
+ * On success B's version is set; a later one may be in force already. */
 int plat_apply(plat_t *p, conf_bundle_t *b, uint64_t expect,
                conf_bundle_t *theirs, err_t *e);
 
-/* Reads the version in force; the bundle is all zero when there is none. */
+/* Reads the version in force; *B is zeroed when there is none. */
 int plat_config(plat_t *p, conf_bundle_t *b, uint64_t *revision, err_t *e);
-/* The bundle of VALUE, read under PLAT_CONFIG_KEY; reads the parts that it
- * names and this client hasn't yet.  -ESTALE: VALUE or a part is stale. */
+/* Creates the bundle from VALUE, read from PLAT_CONFIG_KEY.  Fetches the parts
+ * that VALUE refers to and this client has not cached.  -ESTALE: VALUE or a
+ * part is stale. */
 int plat_expand(plat_t *p, const char *value, conf_bundle_t *b, err_t *e);
-/* Reads an earlier version; -ENOENT when it is no longer kept. */
+/* Reads an earlier version.  -ENOENT: no longer kept. */
 int plat_history(plat_t *p, uint64_t version, conf_bundle_t *b, err_t *e);
 
 #ifdef __cplusplus
--- a/plat/slots.c
+++ b/plat/slots.c
@@ -200,8 +200,7 @@
     int rc = 0;
 
     for (size_t at = 0; rc == 0 && (at < len || at == 0); at += PART_LEN) {
-        rc = add_part(w, text + at,
-                        len - at < PART_LEN ? len - at : PART_LEN);
+        rc = add_part(w, text + at, len - at < PART_LEN ? len - at : PART_LEN);
     }
     return rc;
 }
--- a/plat/store.h
+++ b/plat/store.h
@@ -1,7 +1,7 @@
-/* store: how a version lies in the platform's keys.  Small texts stand in the
- * head, the value of PLAT_CONFIG_KEY.  Longer ones are cut into parts, each
- * in a slot of a fixed ring (PLAT_TEXT_KEY); the head then names the slot and
- * the hash of each part.
+/* store: storage format of a version in the platform's keys.  Short texts are
+ * stored in the head, the value of PLAT_CONFIG_KEY.  Longer ones are split
+ * into parts, each stored in one of a fixed number of slots (PLAT_TEXT_KEY);
+ * the head then lists the slot and the hash of each part.
  */
 #ifndef SISKIN_STORE_H
 #define SISKIN_STORE_H
@@ -14,9 +14,9 @@
 extern "C" {
 #endif
 
-/* Texts that are longer in sum are kept in parts. */
+/* Texts with a greater total length are stored in parts. */
 #define INLINE_MAX (64 * 1024)
-/* Bytes of a part; compressed or not, it fits a value with base64 round it. */
+/* Bytes of a part.  Even if incompressible, it fits a value as base64. */
 #define PART_LEN (512 * 1024)
 #define PARTS_MAX 56
 #define SLOTS 128
@@ -24,24 +24,24 @@
 
 typedef struct {
     uint32_t slot;
-    uint8_t hash[PART_HASH_LEN]; /* BLAKE2b of its text */
+    uint8_t hash[PART_HASH_LEN]; /* BLAKE2b of the part's text */
 } part_t;
 
-/* Where a version's parts are, and what is known of all slots. */
+/* The parts of a version and the state of all slots. */
 typedef struct {
-    size_t n; /* 0: the texts stand in the head */
+    size_t n; /* 0: the texts are in the head */
     part_t part[PARTS_MAX];
-    size_t end[SOURCES_MAX];   /* of each text: behind its last part */
-    uint64_t revision[SLOTS];  /* of the slot's key when last seen */
-    uint64_t last_used[SLOTS]; /* version that had it last; 0: none */
+    size_t end[SOURCES_MAX];   /* index after the last part of each text */
+    uint64_t revision[SLOTS];  /* of the slot's key, as last read */
+    uint64_t last_used[SLOTS]; /* last version using it; 0: none */
 } layout_t;
 
 /* ---- bundle.c ---- */
 
-/* Adds a text, in its place by name. */
+/* Adds a text, keeping the overlays sorted by name. */
 int bundle_add(conf_bundle_t *b, const char *file, const char *text, err_t *e);
 uint64_t bundle_hash(const conf_bundle_t *b);
-/* With the texts (NULL: one is no UTF-8), and without them. */
+/* JSON with the texts (NULL: a text is not valid UTF-8), and without them. */
 json_t *bundle_json(const conf_bundle_t *b);
 json_t *bundle_head_json(const conf_bundle_t *b);
 int bundle_head_read(conf_bundle_t *b, const json_t *o, err_t *e);
@@ -49,14 +49,15 @@
 /* ---- parts.c ---- */
 
 void part_hash(uint8_t hash[PART_HASH_LEN], const char *text, size_t len);
-/* The stored form: compressed, base64.  malloc, NULL without memory. */
+/* The stored form: compressed, base64 (malloc).  NULL: out of memory. */
 char *part_encode(const char *text, size_t len);
-/* Appends the text of a stored part to TO.  -EBADMSG: it isn't that part. */
+/* Appends the text of a stored part to TO.  -EBADMSG: STORED is malformed or
+ * its text has another hash. */
 int part_decode(const char *stored, const uint8_t hash[PART_HASH_LEN],
                 blob_t *to);
 
-/* The stored parts of the version read last, so that the next one costs only
- * the parts that changed. */
+/* The stored parts of the version read last, so that only changed parts are
+ * fetched or written for the next one. */
 typedef struct {
     size_t n;
     struct {
@@ -67,29 +68,30 @@
 
 const char *cache_find(const part_cache_t *c,
                        const uint8_t hash[PART_HASH_LEN]);
-/* Takes STORED. */
+/* Takes ownership of STORED. */
 void cache_add(part_cache_t *c, const uint8_t hash[PART_HASH_LEN],
                char *stored);
-/* Drops what L has not. */
+/* Removes the parts that L does not contain. */
 void cache_prune(part_cache_t *c, const layout_t *l);
 void cache_clear(part_cache_t *c);
 
-/* client.c: the cache of this client. */
+/* client.c */
 part_cache_t *plat_cache(plat_t *p);
 
 /* ---- store.c ---- */
 
-/* The bundle and layout of a head.  -ESTALE: a slot holds another part than
- * the head names; the head or the slot was read stale, read again. */
+/* Reads the bundle and layout of a head.  -ESTALE: a slot does not hold the
+ * part that the head refers to, because a read of either was stale; read the
+ * head again. */
 int store_read(plat_t *p, const char *head, conf_bundle_t *b, layout_t *l,
                err_t *e);
 char *store_head(const conf_bundle_t *b, const layout_t *l); /* malloc */
 
 /* ---- slots.c ---- */
 
-/* Writes the parts of B that CUR, the layout in force, lacks, and fills NEXT.
- * -ENOSPC: other writers have taken each free slot; NEXT has their revisions.
- * Nothing refers to what was written until a head does. */
+/* Writes the parts of B that are missing in CUR, the layout in force, and
+ * fills NEXT.  -ENOSPC: other writers have taken all free slots; NEXT has
+ * their revisions.  The parts are not referenced until a head is written. */
 int store_parts(plat_t *p, const conf_bundle_t *b, const layout_t *cur,
                 layout_t *next, err_t *e);
 
