--- a/plat/apply.c
+++ b/plat/apply.c
@@ -1,11 +1,12 @@
-/* Writing a new version, at most once, never over one that wasn't seen.
+/* Writes a new version at most once, and never over a version that the writer
+ * has not read.
  *
- * Three failures meet here.  An answer is lost after the write took effect:
- * the key is read back, and the change ID, in force or among the changes
- * before, tells that it did.  A writer is paused between read and write while
- * another writes: compare-and-swap on the revision that it read refuses it.
- * A write is delayed on its way and arrives after its sender gave up: the
- * next try has the same revision, so only one of the two can take effect.
+ * Three failures are handled.  An answer is lost after the write took effect:
+ * the key is read back, and the write succeeded if its change ID is the one in
+ * force or among the earlier changes.  A writer is paused between read and
+ * write while another writes: compare-and-swap on the revision read rejects
+ * its write.  A write is delayed and arrives after its sender timed out: the
+ * retry uses the same revision, so only one of the two can take effect.
  */
 #include "plat/store.h"
 
@@ -16,8 +17,8 @@
 #include <time.h>
 
 #define ATTEMPTS_MAX 5
-#define READS_MAX 3    /* of a head whose parts don't fit */
-#define BACKOFF_MS 100 /* before the second try; longer before each later */
+#define READS_MAX 3    /* of a head with stale parts */
+#define BACKOFF_MS 100 /* before the first retry; grows with each */
 
 static void
 sleep_backoff(int attempt)
@@ -27,8 +28,8 @@
     nanosleep(&ts, NULL);
 }
 
-/* The head, then the parts that it names.  A part may have been replaced, or
- * either read be stale: then the head is read again. */
+/* Reads the head, then the parts that it refers to.  If a part has been
+ * replaced or one of the reads is stale, the head is read again. */
 static int
 read_config(plat_t *p, conf_bundle_t *b, layout_t *l, uint64_t *revision,
             err_t *e)
@@ -100,8 +101,9 @@
     return rc;
 }
 
-/* Keeps CUR for those who lose the race against its successor and want to
- * know what changed.  Best effort: without it they see less, not wrong. */
+/* Saves CUR so that a writer that loses the race against its successor can be
+ * shown what changed.  Best effort: without it, the differences shown are
+ * incomplete but not wrong. */
 static void
 save_history(plat_t *p, const conf_bundle_t *cur, const layout_t *layout)
 {
@@ -126,12 +128,12 @@
     conf_bundle_t cur; /* in force, as last read */
     uint64_t revision; /* of CUR */
     layout_t layout;   /* of CUR */
-    bool unknown;      /* a write was sent and not answered */
-    bool in_history;   /* CUR is in the history */
+    bool unknown;      /* a write was sent but not answered */
+    bool in_history;   /* CUR has been saved to the history */
     err_t *e;
 } apply_t;
 
-/* The version that change ID made, or 0. */
+/* The version created by change ID, or 0. */
 static uint64_t
 version_of_change(const conf_bundle_t *cur, const char *id)
 {
@@ -181,8 +183,9 @@
     return rc;
 }
 
-/* Records which slots are taken, without a new version: whoever took them for
- * a head after this one can no longer write it, so they are free again. */
+/* Records the revisions of the slots taken, without a new version.  Writers
+ * that took them for a head based on the current one can no longer write that
+ * head, so the slots are free again. */
 static void
 record_slot_revisions(apply_t *a, const layout_t *seen)
 {
@@ -197,8 +200,8 @@
     free(json);
 }
 
-/* The parts go first: a writer that dies here leaves only parts that no head
- * names.  1: go round again. */
+/* The parts are written before the head: a writer that crashes in between
+ * leaves only parts that no head refers to.  Returns 1 to retry. */
 static int
 write_parts(apply_t *a, layout_t *next)
 {
@@ -209,7 +212,7 @@
         return 1;
     }
     if (rc == -EIO || rc == -ETIMEDOUT) {
-        a->e->code = -EHOSTUNREACH; /* the version itself wasn't sent */
+        a->e->code = -EHOSTUNREACH; /* the head was not sent */
         return 1;
     }
     return rc;
@@ -225,8 +228,8 @@
     if (json == NULL || strlen(json) > PLAT_VALUE_MAX) {
         free(json);
         return err_set(a->e, -EINVAL, "apply", "configuration",
-                       "the stored form is too long or no UTF-8; expected at "
-                       "most %d bytes",
+                       "the stored form is too long or not UTF-8; expected "
+                       "at most %d bytes",
                        PLAT_VALUE_MAX);
     }
     if (!a->in_history && a->cur.n > 0) {
@@ -238,7 +241,7 @@
     return rc;
 }
 
-/* 1: nothing was settled, go round again. */
+/* Returns 1 to retry. */
 static int
 write_next(apply_t *a)
 {
@@ -253,15 +256,15 @@
     return rc != 0 ? rc : write_head(a, &next);
 }
 
-/* Before anything was written, no answer means only that: -EIO would tell the
- * operator of an unknown outcome. */
+/* The error of an unanswered read, before any write was sent.  -EIO would
+ * report an unknown outcome to the operator, but nothing was written. */
 static int
 unreachable_error(int rc)
 {
     return rc == -EIO || rc == -ETIMEDOUT ? -EHOSTUNREACH : rc;
 }
 
-/* One round: read, decide, write.  1: not settled, go round again. */
+/* One attempt: read, decide, write.  Returns 1 to retry. */
 static int
 apply_round(apply_t *a)
 {
--- a/plat/bundle.c
+++ b/plat/bundle.c
@@ -1,4 +1,4 @@
-/* The stored form of a version: JSON to bundle, bundle to model. */
+/* Configuration bundles: conversion from and to JSON, and to the model. */
 #include "plat/store.h"
 
 #include <errno.h>
@@ -42,7 +42,7 @@
 {
     if (b->n == SOURCES_MAX) {
         return err_set(e, -EINVAL, STEP, file,
-                       "one data centre too many; expected at most %d",
+                       "too many data centres; expected at most %d",
                        SOURCES_MAX - 1);
     }
     b->file[b->n] = strdup(file);
@@ -54,7 +54,7 @@
     return 0;
 }
 
-/* Puts the overlay that came last in its place by name, behind the base. */
+/* Moves the overlay added last to its sorted position after the base. */
 static void
 sort_last_overlay(conf_bundle_t *b)
 {
@@ -136,7 +136,7 @@
     int rc;
 
     if (base == NULL) {
-        return format_error(e, "no base text");
+        return format_error(e, "the base text is missing");
     }
     rc = append_text(b, BASE, base, e);
     if (rc < 0) {
@@ -145,7 +145,7 @@
     json_object_foreach(json_object_get(o, "overlays"), name, text)
     {
         if (!json_is_string(text)) {
-            return format_error(e, "an overlay is no text");
+            return format_error(e, "an overlay is not a string");
         }
         rc = bundle_add(b, name, json_string_value(text), e);
         if (rc < 0) {
@@ -175,8 +175,8 @@
     if (b->version == 0 || copy_change_id(b->change_id, o) < 0 ||
         read_hash(&b->hash, o) < 0 ||
         read_changes(b, json_object_get(o, "changes")) < 0) {
-        return format_error(e,
-                            "version, change_id, hash or changes don't fit");
+        return format_error(
+            e, "version, change_id, hash or changes is malformed");
     }
     return 0;
 }
@@ -193,7 +193,7 @@
         return rc;
     }
     if (bundle_hash(b) != b->hash) {
-        return format_error(e, "the texts don't have the hash that they name");
+        return format_error(e, "the hash does not match the texts");
     }
     return 0;
 }
@@ -207,7 +207,7 @@
     *b = (conf_bundle_t){0};
     if (!json_is_object(o)) {
         json_decref(o);
-        return format_error(e, "no JSON object");
+        return format_error(e, "not a JSON object");
     }
     rc = read_object(b, o, e);
     json_decref(o);
@@ -267,8 +267,8 @@
 
 /* ---- Model ---- */
 
-/* The key of each overlay is the data centre that its text names: a version
- * stored under another would be edited in the wrong place. */
+/* The key of each overlay must be the data centre that its text names: an
+ * overlay stored under another name would be edited in the wrong place. */
 static int
 check_overlay_names(const conf_bundle_t *b, err_t *e)
 {
@@ -278,8 +278,8 @@
         if (conf_is_overlay(b->text[i], name) &&
             strcmp(name, b->file[i]) != 0) {
             return err_set(e, -EINVAL, STEP, b->file[i],
-                           "this overlay is stored for another data centre "
-                           "than its text, %s; expected the same",
+                           "the text of this overlay names data centre %s; "
+                           "expected the one that it is stored under",
                            name);
         }
     }
--- a/plat/client.c
+++ b/plat/client.c
@@ -1,4 +1,4 @@
-/* The platform's calls: keys, leases, the list of instances. */
+/* Calls to the platform: keys, leases and the list of instances. */
 #include "plat/http.h"
 #include "plat/store.h"
 
@@ -256,8 +256,8 @@
            copy_addr(o, "bulk", &i->bulk_addr);
 }
 
-/* An entry that isn't understood is skipped: one bad registration must not
- * hide the others. */
+/* A malformed entry is skipped: one bad registration must not hide the
+ * others. */
 int
 plat_instances(plat_t *p, plat_instance_t *out, size_t cap, size_t *n,
                err_t *e)
@@ -314,7 +314,7 @@
     json_decref(o);
     if (text == NULL) {
         return err_set(e, -EINVAL, c.step, i->name,
-                       "the names aren't UTF-8; expected text");
+                       "the names are not valid UTF-8; expected text");
     }
     c.body = text;
     rc = call(p, &c, &r, e);
--- a/plat/delta.c
+++ b/plat/delta.c
@@ -1,8 +1,8 @@
-/* Differences between two versions as bytes: a zstd frame whose prefix is the
- * old version, behind a header that names both ends by content.
+/* Binary deltas between two versions: a header that identifies both versions
+ * by hash, then a zstd frame that uses the old version as its prefix.
  *
- * Header, little endian: "SKD1", hash of the old bytes, hash of the new ones
- * (8 bytes each), length of the new ones (4 bytes).
+ * Header, little endian: "SKD1", hash of the old bytes, hash of the new bytes
+ * (8 bytes each), length of the new bytes (4 bytes).
  */
 #include "plat/plat.h"
 
@@ -19,7 +19,7 @@
 #define HEADER_LEN (LENGTH_OFFSET + 4)
 #define COMPRESSION_LEVEL 3
 #define WINDOW_LOG_MIN 17
-#define WINDOW_LOG_MAX 26 /* a prefix and a text of BLOB_MAX each */
+#define WINDOW_LOG_MAX 26 /* covers a prefix and a text of BLOB_MAX each */
 #define HASH_SEED 0x534b4431u
 
 void
@@ -54,7 +54,7 @@
     return v;
 }
 
-/* Room for LEN bytes and a NUL behind them, so that a text is a string. */
+/* Allocates LEN bytes and a terminating NUL, so that a text is a C string. */
 static int
 alloc_blob(blob_t *b, size_t len)
 {
@@ -67,7 +67,7 @@
     return 0;
 }
 
-/* ---- Making ---- */
+/* ---- Compression ---- */
 
 static void
 write_header(uint8_t *to, const blob_t *old, const blob_t *new_)
@@ -78,8 +78,8 @@
     put_le(to + LENGTH_OFFSET, new_->len, 4);
 }
 
-/* The window reaches from the end of the new bytes to the start of the old:
- * a smaller one would forget the first part of a long prefix. */
+/* The window must span the old and the new bytes: with a smaller one, the
+ * start of a long prefix would be out of reach for matches. */
 static int
 window_log(size_t span)
 {
@@ -139,10 +139,11 @@
     return 0;
 }
 
-/* ---- Applying ---- */
+/* ---- Decompression ---- */
 
-/* The length of the new bytes, or -EBADMSG.  All is checked before memory is
- * taken: a forged length costs nothing, and the frame must name the same. */
+/* The length of the new bytes, or -EBADMSG.  Everything is checked before
+ * memory is allocated, so that a forged length costs nothing; the zstd frame
+ * must declare the same length. */
 static ssize_t
 check_header(const blob_t *old, const blob_t *delta, size_t limit)
 {
--- a/plat/http.c
+++ b/plat/http.c
@@ -1,4 +1,4 @@
-/* HTTP calls over libcurl. */
+/* HTTP client over libcurl. */
 #include "plat/http.h"
 
 #include <curl/curl.h>
@@ -12,7 +12,7 @@
 #define REPLY_MAX (8 * 1024 * 1024)
 
 struct http {
-    CURLM *multi; /* drives CURL, and keeps its connection */
+    CURLM *multi; /* runs CURL and keeps its connection open */
     CURL *curl;
     char url[128];
     char *body;
@@ -24,7 +24,7 @@
 static void
 init_curl(void)
 {
-    curl_global_init(CURL_GLOBAL_NOTHING); /* only http: no TLS to set up */
+    curl_global_init(CURL_GLOBAL_NOTHING); /* no TLS: only http is used */
 }
 
 http_t *
@@ -124,8 +124,9 @@
         curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE, (long)strlen(body));
     }
     curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, method_name(call->method));
-    /* On a kept connection that turns out dead libcurl sends the call again;
-     * of a write, the first copy may have taken effect. */
+    /* libcurl resends a request when a reused connection turns out to be
+     * closed.  A write may have taken effect already, so it gets a new
+     * connection. */
     if (call->method != HTTP_GET) {
         curl_easy_setopt(c, CURLOPT_FRESH_CONNECT, 1L);
     }
@@ -152,16 +153,16 @@
     }
 }
 
-/* How far an answer has come. */
+/* Progress of an answer. */
 typedef struct {
-    curl_off_t bytes;   /* of its body, as sent */
-    ms_t first_byte_at; /* when its first bytes came; MS_NEVER: none did */
-    ms_t deadline;      /* the call fails then */
+    curl_off_t bytes;   /* of the body, as transmitted */
+    ms_t first_byte_at; /* arrival of the first bytes, or MS_NEVER */
+    ms_t deadline;      /* of the call */
 } progress_t;
 
-/* A long answer over a slow link may take several times as long as its first
- * bytes.  Cut off in the middle and asked for again, it would load the link
- * with what was sent already. */
+/* Extends the deadline while an answer makes progress.  A long answer over a
+ * slow link may take several times as long as its first bytes.  If it were
+ * aborted and requested again, the link would carry the same bytes twice. */
 static void
 update_progress(const http_t *h, const http_call_t *call, ms_t now,
                 progress_t *p)
@@ -186,7 +187,7 @@
     }
 }
 
-/* The result of the transfer that has ended. */
+/* The result of the finished transfer. */
 static CURLcode
 transfer_result(http_t *h)
 {
@@ -244,7 +245,7 @@
     if ((size_t)snprintf(url, sizeof(url), "%s%s", h->url, call->path) >=
         sizeof(url)) {
         return err_set(e, -EINVAL, call->step, h->url,
-                       "the name is too long; expected a shorter one");
+                       "the URL is too long; expected a shorter name");
     }
     set_options(h, url, call);
     rc = perform(h, call, &r->transfer_ms);
--- a/plat/parts.c
+++ b/plat/parts.c
@@ -1,4 +1,4 @@
-/* A part of a text: its name by content, its stored form, the parts kept. */
+/* Parts of texts: hash, stored form and cache. */
 #include "plat/store.h"
 
 #include <errno.h>
--- a/plat/plat.h
+++ b/plat/plat.h
@@ -103,8 +103,9 @@
 
 /* ---- Recent versions, as sent to peers ---- */
 
-#define STEPS_MAX 8 /* deltas kept; never fewer than half of them once full   \
-                     */
+#define STEPS_MAX                                                             \
+    8 /* deltas kept; never fewer than half of them once full                 \
+       */
 
 /* The delta from the preceding version to VERSION. */
 typedef struct {
--- a/plat/slots.c
+++ b/plat/slots.c
@@ -1,16 +1,17 @@
-/* Writing a version's parts into the ring of slots.
+/* Writes the parts of a version into slots.
  *
  * A slot is written by compare-and-swap on the revision that the head in force
- * records for it.  Of two writers on one head, the later finds the slot taken
- * and goes to another; it never overwrites a part that the other's head may
- * come to name.  A writer that dies before its head leaves slots with
- * revisions that no head knows.  Who next finds one taken so records its
- * revision in its own head: once that is in force, the dead writer's head can
- * no longer be, and the slot is free again.
+ * records for it.  Of two writers based on the same head, the later one finds
+ * the slot taken and uses another; it never overwrites a part that the other
+ * writer's head may refer to.  A writer that crashes before writing its head
+ * leaves slots with revisions that no head records.  The next writer that
+ * finds such a slot taken records its revision in its own head.  Once that
+ * head is in force, the crashed writer's head can no longer be written, and
+ * the slot is free again.
  *
- * A slot is given again only when the last PLAT_HISTORY versions are without
- * it, so that a reader with a stale head, or one that asks for an earlier
- * version, still finds the parts.
+ * A slot is reused only when none of the last PLAT_HISTORY versions uses it,
+ * so that a reader with a stale head, or of an earlier version, still finds
+ * the parts.
  */
 #include "plat/store.h"
 
@@ -19,20 +20,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNANSWERED_MAX 4 /* writes without an answer before it gives up */
+#define UNANSWERED_MAX 4 /* unanswered writes before giving up */
 
 typedef struct {
     plat_t *p;
     const layout_t *cur;
     layout_t *next;
     uint64_t version;
-    uint32_t start; /* the slot tried first; differs between writers */
+    uint32_t start; /* first slot to try; differs between writers */
     bool tried[SLOTS];
     int unanswered;
     err_t *e;
 } writer_t;
 
-/* The slot of the part with this hash, or -1. */
+/* The slot of the part with HASH, or -1. */
 static int
 find_slot(const layout_t *l, const uint8_t hash[PART_HASH_LEN])
 {
@@ -66,8 +67,8 @@
     return evict_history || last == 0 || last + PLAT_HISTORY < w->version;
 }
 
-/* A free slot, or -1.  Earlier versions are given up only when there is no
- * other way: a reader of them is told that they are no longer kept. */
+/* A free slot, or -1.  Slots of earlier versions are reused only when there is
+ * no other; reading such a version then fails as no longer kept. */
 static int
 allocate_slot(writer_t *w)
 {
@@ -83,9 +84,10 @@
     return -1;
 }
 
-/* After a refused or unanswered write: holds the slot this very part, from an
- * earlier try of this writer or of another?  At a revision that the head in
- * force doesn't know, nobody can overwrite it without fencing this writer. */
+/* After a rejected or unanswered write: whether the slot holds this part, from
+ * an earlier attempt of this writer or from another.  If its revision is newer
+ * than the one in the head in force, the part can't be overwritten without
+ * fencing this writer. */
 static bool
 already_written(writer_t *w, uint32_t slot, const char *key,
                 const part_t *part)
@@ -109,7 +111,7 @@
     return same;
 }
 
-/* One try.  -EAGAIN: the slot is taken, or may be. */
+/* Writes a part to a slot.  -EAGAIN: the slot is taken, or may be. */
 static int
 put_part(writer_t *w, uint32_t slot, const part_t *part, const char *stored)
 {
@@ -140,7 +142,7 @@
         slot = allocate_slot(w);
         if (slot < 0) {
             return err_set(w->e, -ENOSPC, "platform write", "texts",
-                           "other writers have taken each free slot");
+                           "other writers have taken all free slots");
         }
         rc = put_part(w, (uint32_t)slot, part, stored);
     } while (rc == -EAGAIN);
--- a/plat/store.c
+++ b/plat/store.c
@@ -1,8 +1,8 @@
-/* The head of a stored version: JSON to bundle and layout, and back.
+/* Reads and writes the head of a stored version.
  *
- * With parts, "files" takes the place of "base" and "overlays":
- * "files":[{"file":"base","parts":[[SLOT,"HASH"],...]},...].  Where the ring
- * is in use, "slots" has [REVISION,VERSION] for each slot of it.
+ * When the texts are stored in parts, "files" replaces "base" and "overlays":
+ * "files":[{"file":"base","parts":[[SLOT,"HASH"],...]},...].  Once slots have
+ * been used, "slots" contains [REVISION,VERSION] for each slot.
  */
 #include "plat/store.h"
 
@@ -140,8 +140,8 @@
 
 /* ---- Reading ---- */
 
-/* The slot may have been given to a later version since the head was read,
- * or the read of the slot is stale: the hash tells. */
+/* The hash is checked, since the slot may have been reused for a later version
+ * after the head was read, or the read of the slot may be stale. */
 static int
 fetch_part(plat_t *p, const part_t *part, blob_t *to, err_t *e)
 {
@@ -163,8 +163,8 @@
     if (rc < 0) {
         free(stored);
         return err_set(e, rc == -ENOMEM ? rc : -ESTALE, STEP, key,
-                       "holds another part than the head names; expected the "
-                       "same, or a newer head");
+                       "does not hold the part that the head names; expected "
+                       "that part, or a newer head");
     }
     cache_add(plat_cache(p), part->hash, stored);
     return 0;
@@ -179,11 +179,11 @@
     int rc = 0;
 
     if (file == NULL || json_array_size(parts) == 0 || b->n == SOURCES_MAX) {
-        return format_error(e, "a file has no name or parts");
+        return format_error(e, "a file has no name or no parts");
     }
     for (size_t i = 0; rc == 0 && i < json_array_size(parts); i++) {
         rc = read_part(l, json_array_get(parts, i));
-        rc = rc < 0 ? format_error(e, "a part doesn't fit")
+        rc = rc < 0 ? format_error(e, "a part is malformed")
                     : fetch_part(p, &l->part[l->n - 1], &text, e);
     }
     if (rc == 0) {
@@ -204,7 +204,7 @@
         rc = read_file(p, json_array_get(files, i), b, l, e);
     }
     if (rc == 0 && bundle_hash(b) != b->hash) {
-        rc = format_error(e, "the texts don't have the hash that they name");
+        rc = format_error(e, "the hash does not match the texts");
     }
     if (rc == 0) {
         cache_prune(plat_cache(p), l);
@@ -219,7 +219,7 @@
     const json_t *slots = json_object_get(o, "slots");
 
     if (slots != NULL && read_slots(l, slots) < 0) {
-        return format_error(e, "the slots don't fit");
+        return format_error(e, "the slots are malformed");
     }
     return json_object_get(o, "files") != NULL ? read_files(p, o, b, l, e)
                                                : bundle_read(b, head, e);
--- a/plat/versions.c
+++ b/plat/versions.c
@@ -1,7 +1,7 @@
-/* The last versions, as the newest text and the differences that led to it.
+/* Recent versions, kept as the newest text and the deltas that lead to it.
  *
- * Each difference is made once, by whoever learns a version, however many
- * peers ask for it; earlier texts aren't held.
+ * Each delta is computed once, when a version is added, however many peers
+ * request it.  Earlier texts are not kept.
  */
 #include "plat/plat.h"
 
@@ -22,7 +22,7 @@
     *v = (versions_t){0};
 }
 
-/* Replaces TEXT by what STEP makes of it. */
+/* Applies STEP to TEXT in place. */
 static int
 apply_step(blob_t *text, const step_t *step)
 {
@@ -36,7 +36,7 @@
     return rc;
 }
 
-/* The version that N steps lead to, whole. */
+/* The version after N steps, as a step that contains it in full. */
 static int
 full_step_at(const versions_t *v, size_t n, step_t *out)
 {
@@ -54,8 +54,8 @@
     return rc;
 }
 
-/* Drops the older half.  By halves, because a new first version has to be
- * worked out and compressed whole. */
+/* Drops the older half of the steps when they are full.  Half at a time, since
+ * the new first version has to be reconstructed and compressed in full. */
 static int
 drop_older_half(versions_t *v)
 {
@@ -118,7 +118,8 @@
     return 0;
 }
 
-/* How many steps lead to HAVE, or -1: it isn't kept. */
+/* The number of steps from the first version to HAVE, or -1 when HAVE is not
+ * kept. */
 static int
 steps_to_version(const versions_t *v, uint64_t have)
 {
