--- a/test/delta_test.cc
+++ b/test/delta_test.cc
@@ -66,14 +66,14 @@
     return s;
 }
 
-RC_GTEST_PROP(Delta, GivesTheNewBytes, ())
+RC_GTEST_PROP(Delta, YieldsTheNewBytes, ())
 {
     auto old = text_of(*rc::gen::inRange(0, 300), -1);
     auto next = edited(old);
     RC_ASSERT(apply_delta(old, make_delta(old, next)) == next);
 }
 
-RC_GTEST_PROP(Delta, OnAnotherBaseIsRefused, ())
+RC_GTEST_PROP(Delta, IsRejectedOnAnotherBase, ())
 {
     auto old = *rc::gen::arbitrary<std::string>();
     auto other = *rc::gen::arbitrary<std::string>();
@@ -83,7 +83,7 @@
 
 // A changed byte may stand where no reader looks; it never changes the
 // result.
-RC_GTEST_PROP(Delta, NoChangedBytesBreakTheReader, ())
+RC_GTEST_PROP(Delta, ReaderSurvivesChangedBytes, ())
 {
     auto old = text_of(60, -1), next = text_of(60, 7);
     auto delta = edited(make_delta(old, next));
@@ -91,7 +91,7 @@
     RC_ASSERT(got == next || got == rejected);
 }
 
-RC_GTEST_PROP(Delta, NoBytesBreakTheReader, (const std::string &bytes))
+RC_GTEST_PROP(Delta, ReaderSurvivesArbitraryBytes, (const std::string &bytes))
 {
     RC_ASSERT(apply_delta("", bytes) == rejected);
     RC_ASSERT(apply_delta("", make_delta("", "").substr(0, 4) + bytes) ==
@@ -99,7 +99,7 @@
 }
 
 // A peer sends few bytes that would fill the memory.
-TEST(Delta, TakesNoMoreThanTheLimit)
+TEST(Delta, OutputIsLimited)
 {
     std::string zeros(1 << 20, '0');
     auto delta = make_delta("", zeros);
@@ -113,7 +113,7 @@
 
 // The old bytes are far longer than a usual window: the match for the first
 // line lies as far back as they are long.
-TEST(Delta, OfOneChangeIsSmallHoweverLongTheText)
+TEST(Delta, OfOneChangeIsSmallForLongTexts)
 {
     auto old = text_of(100000, -1);
     EXPECT_LT(make_delta(old, text_of(100000, 3)).size(), 1000u);
@@ -143,7 +143,7 @@
 }
 
 // Versions come, with gaps, and a peer that has one of them, or none, asks.
-RC_GTEST_PROP(Versions, LeadFromAnyToTheNewest, ())
+RC_GTEST_PROP(Versions, StepsLeadFromAnyVersionToTheNewest, ())
 {
     Versions s;
     std::vector<uint64_t> all = {0};
@@ -169,7 +169,7 @@
     RC_ASSERT(s.v.dropped == (s.v.first.version != all[1]));
 }
 
-TEST(Versions, OnlyRise)
+TEST(Versions, OnlyNewerVersionsAreAdded)
 {
     Versions s;
     bool whole;
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -91,7 +91,7 @@
 
 /* Guards against: a long answer over a full link, cut off and asked for again
  * without end. */
-TEST(Http, AnAnswerThatGoesOnIsWaitedFor)
+TEST(Http, AnAnswerThatMakesProgressIsAwaited)
 {
     Server s(CHUNKS, 50); /* 2 s */
     std::string body;
@@ -100,7 +100,7 @@
     EXPECT_EQ(CHUNKS * CHUNK.size(), body.size());
 }
 
-TEST(Http, WithoutAStallItMustEndInTime)
+TEST(Http, WithoutAStallTimeoutTheWholeAnswerMustMeetTheTimeout)
 {
     Server s(CHUNKS, 50);
 
@@ -109,7 +109,7 @@
 
 /* Guards against: a connection that falls silent in the middle of an answer.
  */
-TEST(Http, AnAnswerThatStopsFails)
+TEST(Http, AStalledAnswerFails)
 {
     Server s(CHUNKS / 2, 0);
 
@@ -125,7 +125,7 @@
 
 /* Guards against: a caller that can't tell an answer on the way from silence.
  */
-TEST(Http, TheProgressOfAnAnswerIsTold)
+TEST(Http, ProgressOfAnAnswerIsReported)
 {
     Server s(CHUNKS / 2, 10); /* it never ends */
     http_t *h = http_new(s.url.c_str());
@@ -148,7 +148,7 @@
 }
 
 /* Guards against: a server that sends a byte now and then for ever. */
-TEST(Http, AnAnswerWithoutEndFails)
+TEST(Http, AnEndlessAnswerFails)
 {
     Server s(CHUNKS, 200); /* 8 s */
 
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -107,7 +107,7 @@
     EXPECT_EQ(-EBADMSG, bundle_read(&y.b, "", nullptr));
 }
 
-RC_GTEST_PROP(Bundle, NoChangedByteBreaksTheReader, ())
+RC_GTEST_PROP(Bundle, ReaderSurvivesAnyChangedByte, ())
 {
     Bundle x(4, "one");
     x.b.version = 1;
@@ -144,7 +144,7 @@
         padding = 0;
     }
     void
-    set(const char *query)
+    set_faults(const char *query)
     {
         http_t *h = http_new(url.c_str());
         std::string path = std::string("/v1/switch?") + query;
@@ -276,14 +276,14 @@
 TEST_P(Plat, LostAnswerIsReadBack)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
-    set("lose_answers=2"); // of the history's write and the version's
+    set_faults("lose_answers=2"); // of the history's write and the version's
     EXPECT_EQ(0, apply(5, "two", 1));
     EXPECT_EQ(2u, version());
 }
 
 // As before, but another operator has written by the time the first comes
 // back: the change is found among those before, and isn't applied again.
-TEST_P(Plat, LostAnswerIsFoundBehindALaterVersion)
+TEST_P(Plat, LostAnswerIsFoundAfterALaterVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "two", 1));
@@ -296,7 +296,7 @@
 
 // Two operators edit version 1.  The second is told what the first wrote,
 // and nothing of it is lost.
-TEST_P(Plat, LoserOfARaceGetsTheOthersVersion)
+TEST_P(Plat, LoserOfARaceGetsTheWinnersVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "theirs", 1));
@@ -330,9 +330,9 @@
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "two", 1));
-    set("stale_reads=1");
+    set_faults("stale_reads=1");
     EXPECT_EQ(-EAGAIN, apply(6, "three", 1));
-    set("stale_reads=1");
+    set_faults("stale_reads=1");
     EXPECT_EQ(0, apply(6, "three", 2));
     EXPECT_EQ(3u, version());
 }
@@ -340,9 +340,9 @@
 TEST_P(Plat, OutageWritesNothing)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
-    set("outage=1");
+    set_faults("outage=1");
     EXPECT_EQ(-EHOSTUNREACH, apply(5, "two", 1));
-    set("outage=0");
+    set_faults("outage=0");
     EXPECT_EQ(1u, version());
 }
 
@@ -391,13 +391,13 @@
 
 // Many writers at once, answers lost in between: each version number is made
 // by one change, and a change that was told "applied" is there.
-TEST_P(Plat, RacingWritersLoseNothing)
+TEST_P(Plat, ConcurrentWritersLoseNoChange)
 {
     const int writers = 4, rounds = 5;
     std::vector<std::thread> threads;
     std::atomic<int> applied{0};
     ASSERT_EQ(0, apply(4, "start", 0));
-    set("lose_answers=6");
+    set_faults("lose_answers=6");
     for (int w = 0; w < writers; w++) {
         threads.emplace_back([&, w] {
             plat_t *own = plat_new(url.c_str());
@@ -446,13 +446,13 @@
         int runs = *rc::gen::inRange(1, 3);
         std::string id = "id-" + std::to_string(next_id++);
         int rc = 0;
-        set(("lose_answers=" + std::to_string(lost) +
-             "&stale_reads=" + std::to_string(stale))
-                .c_str());
+        set_faults(("lose_answers=" + std::to_string(lost) +
+                    "&stale_reads=" + std::to_string(stale))
+                       .c_str());
         for (int i = 0; i < runs; i++) {
             rc = apply(next_id % 100, id.c_str(), expect);
         }
-        set("lose_answers=0&stale_reads=0");
+        set_faults("lose_answers=0&stale_reads=0");
         Bundle now;
         uint64_t revision;
         RC_ASSERT(plat_config(p, &now.b, &revision, NULL) == 0);
@@ -481,7 +481,7 @@
         }
     };
     void
-    read(Writer &w)
+    read_head(Writer &w)
     {
         char *head;
         bundle_free(&w.now.b);
@@ -492,7 +492,7 @@
         w.state = 1;
     }
     int
-    parts(Writer &w, int queue, const char *id)
+    write_parts(Writer &w, int queue, const char *id)
     {
         Bundle fresh(queue, id);
         std::swap(w.next.b, fresh.b);
@@ -501,7 +501,7 @@
         return store_parts(w.p, &w.next.b, &w.cur, &w.after, NULL);
     }
     int
-    head(Writer &w)
+    write_head(Writer &w)
     {
         char *json = store_head(&w.next.b, &w.after);
         uint64_t r;
@@ -557,14 +557,14 @@
 
 // Operators' tools die between parts and head, more often than there are
 // slots.  What they leave takes no room for good.
-TEST_P(Parts, DeadWritersDontFillTheRing)
+TEST_P(Parts, CrashedWritersDontExhaustTheSlots)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
     for (int i = 0; i < SLOTS + 5; i++) {
         Writer w;
         w.p = plat_new(url.c_str());
-        read(w);
-        parts(w, 100 + i, std::to_string(i).c_str());
+        read_head(w);
+        write_parts(w, 100 + i, std::to_string(i).c_str());
     }
     EXPECT_EQ(0, apply(5, "after", 1));
     EXPECT_EQ("after", in_force());
@@ -573,19 +573,19 @@
 }
 
 // A tool that died is run again with its change ID: it finds its own parts.
-TEST_P(Parts, SecondTryUsesThePartsOfTheFirst)
+TEST_P(Parts, RetryReusesThePartsOfTheFirstAttempt)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     Writer first, second;
     first.p = plat_new(url.c_str());
     second.p = plat_new(url.c_str());
-    read(first);
-    ASSERT_EQ(0, parts(first, 5, "two"));
-    read(second);
-    ASSERT_EQ(0, parts(second, 5, "two"));
+    read_head(first);
+    ASSERT_EQ(0, write_parts(first, 5, "two"));
+    read_head(second);
+    ASSERT_EQ(0, write_parts(second, 5, "two"));
     EXPECT_EQ(0, memcmp(first.after.part, second.after.part,
                         sizeof(first.after.part)));
-    ASSERT_EQ(0, head(second));
+    ASSERT_EQ(0, write_head(second));
     EXPECT_EQ("two", in_force());
 }
 
@@ -593,7 +593,7 @@
 // wake after others wrote.  An accepted head names parts that were given to
 // another in between: no instance could read the version in force.  The slot's
 // compare-and-swap and the head's together rule it out.
-TEST_P(Parts, AcceptedVersionIsWholeInAnyOrderOfWriters)
+TEST_P(Parts, AcceptedVersionIsCompleteInAnyOrderOfWriters)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
     EXPECT_TRUE(rc::check("is whole", [&] {
@@ -605,7 +605,7 @@
         for (int n = *rc::gen::inRange(3, 15); n > 0; n--) {
             Writer &x = w[*rc::gen::inRange(0, 3)];
             if (x.state == 0 || *rc::gen::inRange(0, 4) == 0) {
-                read(x);
+                read_head(x);
                 continue;
             }
             if (x.state == 1) {
@@ -613,13 +613,13 @@
                 int stale = *rc::gen::inRange(0, 2);
                 // Few names: writers with one name start at one slot.
                 std::string name = std::to_string(*rc::gen::inRange(0, 2));
-                set(("stale_reads=" + std::to_string(stale)).c_str());
-                x.state = parts(x, queue, name.c_str()) == 0 ? 2 : 0;
-                set("stale_reads=0");
+                set_faults(("stale_reads=" + std::to_string(stale)).c_str());
+                x.state = write_parts(x, queue, name.c_str()) == 0 ? 2 : 0;
+                set_faults("stale_reads=0");
                 continue;
             }
             uint64_t mine = x.next.b.hash;
-            expected = head(x) == 0 ? mine : expected;
+            expected = write_head(x) == 0 ? mine : expected;
             RC_ASSERT(hash_in_force() == expected);
         }
     }));
