--- a/test/delta_test.cc
+++ b/test/delta_test.cc
@@ -1,4 +1,5 @@
-// Differences between versions: what was sent arrives, or nothing does.
+// Deltas between versions: applying one yields exactly the new bytes or an
+// error.
 #include "plat/plat.h"
 
 #include <errno.h>
@@ -41,7 +42,7 @@
 
 static const std::string rejected = std::to_string(-EBADMSG);
 
-// N upstreams; one of them at another port.
+// Text with N upstreams; the one at index CHANGED has another port.
 static std::string
 text_of(int n, int changed)
 {
@@ -81,7 +82,7 @@
     RC_ASSERT(apply_delta(other, make_delta(old, text_of(9, 1))) == rejected);
 }
 
-// A changed byte may stand where no reader looks; it never changes the
+// A changed byte may be one that the reader ignores; it never changes the
 // result.
 RC_GTEST_PROP(Delta, ReaderSurvivesChangedBytes, ())
 {
@@ -98,7 +99,7 @@
               rejected);
 }
 
-// A peer sends few bytes that would fill the memory.
+// Guards against a short delta from a peer that exhausts the memory.
 TEST(Delta, OutputIsLimited)
 {
     std::string zeros(1 << 20, '0');
@@ -107,12 +108,12 @@
     EXPECT_EQ(rejected, apply_delta("", delta, zeros.size() - 1));
     EXPECT_EQ(zeros, apply_delta("", delta, zeros.size()));
     std::string forged = delta;
-    forged[20] = 1; // the length that the header names
+    forged[20] = 1; // the length in the header
     EXPECT_EQ(rejected, apply_delta("", forged));
 }
 
-// The old bytes are far longer than a usual window: the match for the first
-// line lies as far back as they are long.
+// The old bytes are far longer than the default window: the match for the
+// first line is as far back as the old bytes are long.
 TEST(Delta, OfOneChangeIsSmallForLongTexts)
 {
     auto old = text_of(100000, -1);
@@ -142,7 +143,7 @@
     return text_of(50, (int)(version % 50)) + std::to_string(version);
 }
 
-// Versions come, with gaps, and a peer that has one of them, or none, asks.
+// Versions are added, with gaps; a peer has any of them, or none.
 RC_GTEST_PROP(Versions, StepsLeadFromAnyVersionToTheNewest, ())
 {
     Versions s;
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -1,5 +1,5 @@
-/* HTTP calls whose answers come slowly, against a server that sends its answer
- * in pieces. */
+/* HTTP calls with slow answers, against a server that sends its answer in
+ * chunks. */
 #include "plat/http.h"
 
 #include <arpa/inet.h>
@@ -15,8 +15,8 @@
 const int CHUNKS = 40;
 const std::string CHUNK(100, 'x');
 
-/* Answers one request: SEND pieces of PIECES, GAP apart, then waits until the
- * caller closes. */
+/* Answers one request: sends SEND_CHUNKS of CHUNKS chunks, GAP_MS apart, then
+ * waits until the client closes the connection. */
 class Server {
   public:
     Server(int send_chunks, int gap_ms) : chunks(send_chunks), gap(gap_ms)
@@ -62,7 +62,7 @@
             usleep((useconds_t)gap * 1000);
         }
         struct pollfd p = {c, POLLIN, 0};
-        poll(&p, 1, 20000); /* until the caller closes */
+        poll(&p, 1, 20000); /* until the client closes */
         close(c);
     }
 
@@ -89,8 +89,8 @@
     return rc;
 }
 
-/* Guards against: a long answer over a full link, cut off and asked for again
- * without end. */
+/* Guards against a long answer over a congested link that is aborted and
+ * requested again endlessly. */
 TEST(Http, AnAnswerThatMakesProgressIsAwaited)
 {
     Server s(CHUNKS, 50); /* 2 s */
@@ -107,8 +107,7 @@
     EXPECT_EQ(-ETIMEDOUT, call(s.url, 1000, 0));
 }
 
-/* Guards against: a connection that falls silent in the middle of an answer.
- */
+/* Guards against a connection that stalls in the middle of an answer. */
 TEST(Http, AStalledAnswerFails)
 {
     Server s(CHUNKS / 2, 0);
@@ -123,11 +122,11 @@
     EXPECT_EQ(-ETIMEDOUT, call(s.url, 300, 10000));
 }
 
-/* Guards against: a caller that can't tell an answer on the way from silence.
- */
+/* Guards against a caller that can't distinguish an answer in progress from no
+ * answer. */
 TEST(Http, ProgressOfAnAnswerIsReported)
 {
-    Server s(CHUNKS / 2, 10); /* it never ends */
+    Server s(CHUNKS / 2, 10); /* the answer stays incomplete */
     http_t *h = http_new(s.url.c_str());
     http_call_t c = {};
     http_reply_t r;
@@ -147,7 +146,7 @@
     http_free(h);
 }
 
-/* Guards against: a server that sends a byte now and then for ever. */
+/* Guards against a server that keeps sending a few bytes without end. */
 TEST(Http, AnEndlessAnswerFails)
 {
     Server s(CHUNKS, 200); /* 8 s */
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -1,5 +1,5 @@
-// The platform's client against the stand-in: stored versions, and writes that
-// take effect at most once whatever happens to their answers.
+// The platform client against the stand-in: stored versions, and writes that
+// take effect at most once even if their answers are lost.
 #include "plat/plat.h"
 #include "plat/http.h"
 #include "plat/store.h"
@@ -13,7 +13,8 @@
 #include <string.h>
 #include <thread>
 
-// Comment lines at the head of the base: a long text is stored in parts.
+// Bytes of comment lines at the start of the base; a long text is stored in
+// parts.
 static size_t padding;
 
 static std::string
@@ -44,7 +45,7 @@
            std::to_string(host) + ":5683\"\n";
 }
 
-// A bundle that is freed with its scope.
+// A bundle that is freed at the end of its scope.
 struct Bundle {
     conf_bundle_t b = {};
     Bundle() = default;
@@ -91,8 +92,8 @@
     conf_free(c);
 }
 
-// An instance gets a version whose text was cut or changed on its way: the
-// hash differs, and the version isn't taken.
+// Guards against accepting a version whose text was truncated or changed in
+// transit: the hash differs.
 TEST(Bundle, ChangedTextIsRefused)
 {
     Bundle x(4, "one");
@@ -121,8 +122,8 @@
     RC_ASSERT(rc == 0 || rc == -EBADMSG);
 }
 
-// Each test runs with short texts, which stand in the head, and with long ones
-// in parts.
+// Each test runs with short texts, which are stored in the head, and with long
+// ones, which are stored in parts.
 class Plat : public testing::TestWithParam<size_t> {
   protected:
     void
@@ -271,18 +272,18 @@
     EXPECT_EQ(-ENOENT, plat_history(p, 2, &none.b, NULL));
 }
 
-// The operator's write takes effect, its answer is lost, and the tool tries
-// again by itself.  Applied twice, the second would revert what came between.
+// The operator's write takes effect, its answer is lost, and the tool retries
+// on its own.  Applying the change twice would revert any change in between.
 TEST_P(Plat, LostAnswerIsReadBack)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
-    set_faults("lose_answers=2"); // of the history's write and the version's
+    set_faults("lose_answers=2"); // to the writes of history and version
     EXPECT_EQ(0, apply(5, "two", 1));
     EXPECT_EQ(2u, version());
 }
 
-// As before, but another operator has written by the time the first comes
-// back: the change is found among those before, and isn't applied again.
+// As above, but another operator has written before the retry: the change is
+// found among the earlier changes and is not applied again.
 TEST_P(Plat, LostAnswerIsFoundAfterALaterVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
@@ -294,8 +295,8 @@
     EXPECT_EQ(3u, version());
 }
 
-// Two operators edit version 1.  The second is told what the first wrote,
-// and nothing of it is lost.
+// Two operators edit version 1.  The second gets the version written by the
+// first, and nothing of that version is lost.
 TEST_P(Plat, LoserOfARaceGetsTheWinnersVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
@@ -308,8 +309,8 @@
     EXPECT_EQ(2u, version());
 }
 
-// A writer reads the version, is paused, and wakes after another wrote.  It
-// still believes that it may write; its revision is old and is refused.
+// A writer reads the version, is paused, and resumes after another has
+// written. Its write is based on an old revision and is rejected.
 TEST_P(Plat, PausedWriterIsFenced)
 {
     Bundle seen;
@@ -324,8 +325,8 @@
     EXPECT_EQ(2u, version());
 }
 
-// A read that lags shows version 1 while 2 is in force.  The write based on
-// it is refused, the next read shows why.
+// A stale read returns version 1 while 2 is in force.  The write based on it
+// is rejected, and the next read returns version 2.
 TEST_P(Plat, StaleReadDoesNotRevert)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
@@ -346,8 +347,8 @@
     EXPECT_EQ(1u, version());
 }
 
-// The platform takes the write, and before it answers it goes away for long.
-// The tool can't tell whether the version stands and says so.
+// The platform receives the write and becomes unavailable before answering.
+// The outcome can't be read back and is reported as unknown.
 TEST(Apply, WriteThatCantBeReadBackIsUnknown)
 {
     bool written = false;
@@ -389,8 +390,8 @@
     EXPECT_EQ(1u, version());
 }
 
-// Many writers at once, answers lost in between: each version number is made
-// by one change, and a change that was told "applied" is there.
+// Concurrent writers with lost answers: each version number belongs to one
+// change, and each change that was reported as applied is stored.
 TEST_P(Plat, ConcurrentWritersLoseNoChange)
 {
     const int writers = 4, rounds = 5;
@@ -419,7 +420,7 @@
     EXPECT_EQ((uint64_t)applied + 1, version());
 }
 
-// How often change ID stands in the version in force or those before it.
+// How often a change ID occurs in the version in force and the earlier ones.
 static int
 times_applied(const conf_bundle_t *now, const std::string &id)
 {
@@ -430,10 +431,10 @@
     return n;
 }
 
-// Operators with fresh and old views write while answers are lost and reads
-// lag, and each runs the command again when it failed.  Whatever the order:
-// "done" is there once, "lost the race" is not there, versions only grow, and
-// none is skipped.
+// Operators write, based on the newest or an older version, while answers are
+// lost and reads are stale, and run the command again.  In any order: a change
+// reported as applied is stored exactly once, one reported as having lost the
+// race is not stored, and version numbers increase without gaps.
 TEST_P(Plat, AnyOrderOfFaultsAppliesOnce)
 {
     int next_id = 0;
@@ -468,7 +469,7 @@
 
 class Parts : public Plat {
   protected:
-    // A writer that stops after any step.
+    // A writer that can be stopped after any step.
     struct Writer {
         plat_t *p = nullptr;
         Bundle now, next;
@@ -510,7 +511,7 @@
         w.state = 0;
         return rc;
     }
-    // The version in force, with all its parts, for one who has none yet.
+    // The version in force, read by a client with an empty cache.
     void
     in_force(Bundle *now)
     {
@@ -555,8 +556,8 @@
     plat_free(reader);
 }
 
-// Operators' tools die between parts and head, more often than there are
-// slots.  What they leave takes no room for good.
+// Operators' tools crash between writing parts and head, more often than there
+// are slots.  The slots that they leave behind become free again.
 TEST_P(Parts, CrashedWritersDontExhaustTheSlots)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
@@ -572,7 +573,8 @@
     EXPECT_EQ("again", in_force());
 }
 
-// A tool that died is run again with its change ID: it finds its own parts.
+// A tool that crashed is run again with the same change ID: it reuses the
+// parts written before.
 TEST_P(Parts, RetryReusesThePartsOfTheFirstAttempt)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
@@ -590,9 +592,9 @@
 }
 
 // Writers read, write parts and write heads in any order, stop anywhere, and
-// wake after others wrote.  An accepted head names parts that were given to
-// another in between: no instance could read the version in force.  The slot's
-// compare-and-swap and the head's together rule it out.
+// resume after others have written.  Guards against an accepted head that
+// refers to slots which were reused in between: no instance could read the
+// version in force.  Compare-and-swap on both slot and head prevents it.
 TEST_P(Parts, AcceptedVersionIsCompleteInAnyOrderOfWriters)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
@@ -611,7 +613,7 @@
             if (x.state == 1) {
                 int queue = 10 + *rc::gen::inRange(0, 3);
                 int stale = *rc::gen::inRange(0, 2);
-                // Few names: writers with one name start at one slot.
+                // Few IDs: writers with the same ID start at the same slot.
                 std::string name = std::to_string(*rc::gen::inRange(0, 2));
                 set_faults(("stale_reads=" + std::to_string(stale)).c_str());
                 x.state = write_parts(x, queue, name.c_str()) == 0 ? 2 : 0;
