--- a/plat/bundle.c
+++ b/plat/bundle.c
@@ -176,7 +176,7 @@
         read_hash(&b->hash, o) < 0 ||
         read_changes(b, json_object_get(o, "changes")) < 0) {
         return format_error(
-            e, "version, change_id, hash or changes is malformed");
+            e, "version, change_id, hash or changes is missing or malformed");
     }
     return 0;
 }
--- a/plat/plat.h
+++ b/plat/plat.h
@@ -103,9 +103,8 @@
 
 /* ---- Recent versions, as sent to peers ---- */
 
-#define STEPS_MAX                                                             \
-    8 /* deltas kept; never fewer than half of them once full                 \
-       */
+/* Limit of deltas kept; at least half as many versions are kept. */
+#define STEPS_MAX 8
 
 /* The delta from the preceding version to VERSION. */
 typedef struct {
--- a/plat/versions.c
+++ b/plat/versions.c
@@ -54,8 +54,8 @@
     return rc;
 }
 
-/* Drops the older half of the steps when they are full.  Half at a time, since
- * the new first version has to be reconstructed and compressed in full. */
+/* Drops the older half of a full array of steps.  Half at a time, since the
+ * new first version has to be reconstructed and compressed in full. */
 static int
 drop_older_half(versions_t *v)
 {
