--- a/test/delta_test.cc
+++ b/test/delta_test.cc
@@ -1,4 +1,5 @@
-// Differences between versions: what was sent arrives, or nothing does.
+// Deltas between versions: applying one yields exactly the new bytes or an
+// error.
 #include "plat/plat.h"
 
 #include <errno.h>
@@ -14,7 +15,7 @@
 }
 
 static std::string
-take(blob_t b)
+take_text(blob_t b)
 {
     std::string s((const char *)b.data, b.len);
     blob_free(&b);
@@ -22,26 +23,26 @@
 }
 
 static std::string
-diffed(const std::string &old, const std::string &next)
+make_delta(const std::string &old, const std::string &next)
 {
     blob_t a = blob(old), b = blob(next), out;
     EXPECT_EQ(0, delta_make(&a, &b, &out));
-    return take(out);
+    return take_text(out);
 }
 
 // The new bytes, or the error as text.
 static std::string
-applied(const std::string &old, const std::string &delta,
-        size_t limit = BLOB_MAX)
+apply_delta(const std::string &old, const std::string &delta,
+            size_t limit = BLOB_MAX)
 {
     blob_t a = blob(old), d = blob(delta), out;
     int rc = delta_apply(&a, &d, limit, &out);
-    return rc == 0 ? take(out) : std::to_string(rc);
+    return rc == 0 ? take_text(out) : std::to_string(rc);
 }
 
-static const std::string refused = std::to_string(-EBADMSG);
+static const std::string rejected = std::to_string(-EBADMSG);
 
-// N upstreams; one of them at another port.
+// Text with N upstreams; the one at index CHANGED has another port.
 static std::string
 text_of(int n, int changed)
 {
@@ -66,57 +67,58 @@
     return s;
 }
 
-RC_GTEST_PROP(Delta, GivesTheNewBytes, ())
+RC_GTEST_PROP(Delta, YieldsTheNewBytes, ())
 {
     auto old = text_of(*rc::gen::inRange(0, 300), -1);
     auto next = edited(old);
-    RC_ASSERT(applied(old, diffed(old, next)) == next);
+    RC_ASSERT(apply_delta(old, make_delta(old, next)) == next);
 }
 
-RC_GTEST_PROP(Delta, OnAnotherBaseIsRefused, ())
+RC_GTEST_PROP(Delta, IsRejectedOnAnotherBase, ())
 {
     auto old = *rc::gen::arbitrary<std::string>();
     auto other = *rc::gen::arbitrary<std::string>();
     RC_PRE(old != other);
-    RC_ASSERT(applied(other, diffed(old, text_of(9, 1))) == refused);
+    RC_ASSERT(apply_delta(other, make_delta(old, text_of(9, 1))) == rejected);
 }
 
-// A changed byte may stand where no reader looks; it never changes the
+// A changed byte may be one that the reader ignores; it never changes the
 // result.
-RC_GTEST_PROP(Delta, NoChangedBytesBreakTheReader, ())
+RC_GTEST_PROP(Delta, ReaderSurvivesChangedBytes, ())
 {
     auto old = text_of(60, -1), next = text_of(60, 7);
-    auto delta = edited(diffed(old, next));
-    auto got = applied(old, delta);
-    RC_ASSERT(got == next || got == refused);
+    auto delta = edited(make_delta(old, next));
+    auto got = apply_delta(old, delta);
+    RC_ASSERT(got == next || got == rejected);
 }
 
-RC_GTEST_PROP(Delta, NoBytesBreakTheReader, (const std::string &bytes))
+RC_GTEST_PROP(Delta, ReaderSurvivesArbitraryBytes, (const std::string &bytes))
 {
-    RC_ASSERT(applied("", bytes) == refused);
-    RC_ASSERT(applied("", diffed("", "").substr(0, 4) + bytes) == refused);
+    RC_ASSERT(apply_delta("", bytes) == rejected);
+    RC_ASSERT(apply_delta("", make_delta("", "").substr(0, 4) + bytes) ==
+              rejected);
 }
 
-// A peer sends few bytes that would fill the memory.
-TEST(Delta, TakesNoMoreThanTheLimit)
+// Guards against a short delta from a peer that exhausts the memory.
+TEST(Delta, OutputIsLimited)
 {
     std::string zeros(1 << 20, '0');
-    auto delta = diffed("", zeros);
+    auto delta = make_delta("", zeros);
     EXPECT_LT(delta.size(), 200u);
-    EXPECT_EQ(refused, applied("", delta, zeros.size() - 1));
-    EXPECT_EQ(zeros, applied("", delta, zeros.size()));
+    EXPECT_EQ(rejected, apply_delta("", delta, zeros.size() - 1));
+    EXPECT_EQ(zeros, apply_delta("", delta, zeros.size()));
     std::string forged = delta;
-    forged[20] = 1; // the length that the header names
-    EXPECT_EQ(refused, applied("", forged));
+    forged[20] = 1; // the length in the header
+    EXPECT_EQ(rejected, apply_delta("", forged));
 }
 
-// The old bytes are far longer than a usual window: the match for the first
-// line lies as far back as they are long.
-TEST(Delta, OfOneChangeIsSmallHoweverLongTheText)
+// The old bytes are far longer than the default window: the match for the
+// first line is as far back as the old bytes are long.
+TEST(Delta, OfOneChangeIsSmallForLongTexts)
 {
     auto old = text_of(100000, -1);
-    EXPECT_LT(diffed(old, text_of(100000, 3)).size(), 1000u);
-    EXPECT_LT(diffed(old, text_of(100000, 99990)).size(), 1000u);
+    EXPECT_LT(make_delta(old, text_of(100000, 3)).size(), 1000u);
+    EXPECT_LT(make_delta(old, text_of(100000, 99990)).size(), 1000u);
 }
 
 // ---- Versions ----
@@ -141,8 +143,8 @@
     return text_of(50, (int)(version % 50)) + std::to_string(version);
 }
 
-// Versions come, with gaps, and a peer that has one of them, or none, asks.
-RC_GTEST_PROP(Versions, LeadFromAnyToTheNewest, ())
+// Versions are added, with gaps; a peer has any of them, or none.
+RC_GTEST_PROP(Versions, StepsLeadFromAnyVersionToTheNewest, ())
 {
     Versions s;
     std::vector<uint64_t> all = {0};
@@ -157,7 +159,7 @@
     std::string text = whole || have == 0 ? "" : text_at(have);
     for (size_t i = 0; i < n; i++) {
         const blob_t &d = step[i]->delta;
-        text = applied(text, std::string((char *)d.data, d.len));
+        text = apply_delta(text, std::string((char *)d.data, d.len));
         RC_ASSERT(text == text_at(step[i]->version));
         RC_ASSERT(step[i]->at == (ms_t)step[i]->version * 10);
     }
@@ -168,7 +170,7 @@
     RC_ASSERT(s.v.dropped == (s.v.first.version != all[1]));
 }
 
-TEST(Versions, OnlyRise)
+TEST(Versions, OnlyNewerVersionsAreAdded)
 {
     Versions s;
     bool whole;
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -1,5 +1,5 @@
-// The platform's client against the stand-in: stored versions, and writes that
-// take effect at most once whatever happens to their answers.
+// The platform client against the stand-in: stored versions, and writes that
+// take effect at most once even if their answers are lost.
 #include "plat/plat.h"
 #include "plat/http.h"
 #include "plat/store.h"
@@ -13,7 +13,8 @@
 #include <string.h>
 #include <thread>
 
-// Comment lines at the head of the base: a long text is stored in parts.
+// Bytes of comment lines at the start of the base; a long text is stored in
+// parts.
 static size_t padding;
 
 static std::string
@@ -44,7 +45,7 @@
            std::to_string(host) + ":5683\"\n";
 }
 
-// A bundle that is freed with its scope.
+// A bundle that is freed at the end of its scope.
 struct Bundle {
     conf_bundle_t b = {};
     Bundle() = default;
@@ -91,8 +92,8 @@
     conf_free(c);
 }
 
-// An instance gets a version whose text was cut or changed on its way: the
-// hash differs, and the version isn't taken.
+// Guards against accepting a version whose text was truncated or changed in
+// transit: the hash differs.
 TEST(Bundle, ChangedTextIsRefused)
 {
     Bundle x(4, "one");
@@ -107,7 +108,7 @@
     EXPECT_EQ(-EBADMSG, bundle_read(&y.b, "", nullptr));
 }
 
-RC_GTEST_PROP(Bundle, NoChangedByteBreaksTheReader, ())
+RC_GTEST_PROP(Bundle, ReaderSurvivesAnyChangedByte, ())
 {
     Bundle x(4, "one");
     x.b.version = 1;
@@ -121,8 +122,8 @@
     RC_ASSERT(rc == 0 || rc == -EBADMSG);
 }
 
-// Each test runs with short texts, which stand in the head, and with long ones
-// in parts.
+// Each test runs with short texts, which are stored in the head, and with long
+// ones, which are stored in parts.
 class Plat : public testing::TestWithParam<size_t> {
   protected:
     void
@@ -144,7 +145,7 @@
         padding = 0;
     }
     void
-    set(const char *query)
+    set_faults(const char *query)
     {
         http_t *h = http_new(url.c_str());
         std::string path = std::string("/v1/switch?") + query;
@@ -246,16 +247,17 @@
 
 TEST_P(Plat, ErrorsNameStepAndPeer)
 {
-    plat_t *nowhere = plat_new("http://127.0.0.1:1");
+    plat_t *unreachable = plat_new("http://127.0.0.1:1");
     char *value;
     uint64_t rev;
     err_t e = {};
-    EXPECT_EQ(-ECONNREFUSED, plat_get(nowhere, "k", 0, 0, &value, &rev, &e));
+    EXPECT_EQ(-ECONNREFUSED,
+              plat_get(unreachable, "k", 0, 0, &value, &rev, &e));
     EXPECT_STREQ("platform read", e.step);
     EXPECT_STREQ("http://127.0.0.1:1", e.peer);
     Bundle x(4, "one");
-    EXPECT_EQ(-ECONNREFUSED, plat_apply(nowhere, &x.b, 0, NULL, &e));
-    plat_free(nowhere);
+    EXPECT_EQ(-ECONNREFUSED, plat_apply(unreachable, &x.b, 0, NULL, &e));
+    plat_free(unreachable);
 }
 
 TEST_P(Plat, VersionsFollowEachOther)
@@ -270,19 +272,19 @@
     EXPECT_EQ(-ENOENT, plat_history(p, 2, &none.b, NULL));
 }
 
-// The operator's write takes effect, its answer is lost, and the tool tries
-// again by itself.  Applied twice, the second would revert what came between.
+// The operator's write takes effect, its answer is lost, and the tool retries
+// on its own.  Applying the change twice would revert any change in between.
 TEST_P(Plat, LostAnswerIsReadBack)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
-    set("lose_answers=2"); // of the history's write and the version's
+    set_faults("lose_answers=2"); // to the writes of history and version
     EXPECT_EQ(0, apply(5, "two", 1));
     EXPECT_EQ(2u, version());
 }
 
-// As before, but another operator has written by the time the first comes
-// back: the change is found among those before, and isn't applied again.
-TEST_P(Plat, LostAnswerIsFoundBehindALaterVersion)
+// As above, but another operator has written before the retry: the change is
+// found among the earlier changes and is not applied again.
+TEST_P(Plat, LostAnswerIsFoundAfterALaterVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "two", 1));
@@ -293,9 +295,9 @@
     EXPECT_EQ(3u, version());
 }
 
-// Two operators edit version 1.  The second is told what the first wrote,
-// and nothing of it is lost.
-TEST_P(Plat, LoserOfARaceGetsTheOthersVersion)
+// Two operators edit version 1.  The second gets the version written by the
+// first, and nothing of that version is lost.
+TEST_P(Plat, LoserOfARaceGetsTheWinnersVersion)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "theirs", 1));
@@ -307,8 +309,8 @@
     EXPECT_EQ(2u, version());
 }
 
-// A writer reads the version, is paused, and wakes after another wrote.  It
-// still believes that it may write; its revision is old and is refused.
+// A writer reads the version, is paused, and resumes after another has
+// written. Its write is based on an old revision and is rejected.
 TEST_P(Plat, PausedWriterIsFenced)
 {
     Bundle seen;
@@ -323,15 +325,15 @@
     EXPECT_EQ(2u, version());
 }
 
-// A read that lags shows version 1 while 2 is in force.  The write based on
-// it is refused, the next read shows why.
+// A stale read returns version 1 while 2 is in force.  The write based on it
+// is rejected, and the next read returns version 2.
 TEST_P(Plat, StaleReadDoesNotRevert)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     ASSERT_EQ(0, apply(5, "two", 1));
-    set("stale_reads=1");
+    set_faults("stale_reads=1");
     EXPECT_EQ(-EAGAIN, apply(6, "three", 1));
-    set("stale_reads=1");
+    set_faults("stale_reads=1");
     EXPECT_EQ(0, apply(6, "three", 2));
     EXPECT_EQ(3u, version());
 }
@@ -339,14 +341,14 @@
 TEST_P(Plat, OutageWritesNothing)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
-    set("outage=1");
+    set_faults("outage=1");
     EXPECT_EQ(-EHOSTUNREACH, apply(5, "two", 1));
-    set("outage=0");
+    set_faults("outage=0");
     EXPECT_EQ(1u, version());
 }
 
-// The platform takes the write, and before it answers it goes away for long.
-// The tool can't tell whether the version stands and says so.
+// The platform receives the write and becomes unavailable before answering.
+// The outcome can't be read back and is reported as unknown.
 TEST(Apply, WriteThatCantBeReadBackIsUnknown)
 {
     bool written = false;
@@ -388,15 +390,15 @@
     EXPECT_EQ(1u, version());
 }
 
-// Many writers at once, answers lost in between: each version number is made
-// by one change, and a change that was told "applied" is there.
-TEST_P(Plat, RacingWritersLoseNothing)
+// Concurrent writers with lost answers: each version number belongs to one
+// change, and each change that was reported as applied is stored.
+TEST_P(Plat, ConcurrentWritersLoseNoChange)
 {
     const int writers = 4, rounds = 5;
     std::vector<std::thread> threads;
     std::atomic<int> applied{0};
     ASSERT_EQ(0, apply(4, "start", 0));
-    set("lose_answers=6");
+    set_faults("lose_answers=6");
     for (int w = 0; w < writers; w++) {
         threads.emplace_back([&, w] {
             plat_t *own = plat_new(url.c_str());
@@ -418,7 +420,7 @@
     EXPECT_EQ((uint64_t)applied + 1, version());
 }
 
-// How often change ID stands in the version in force or those before it.
+// How often a change ID occurs in the version in force and the earlier ones.
 static int
 times_applied(const conf_bundle_t *now, const std::string &id)
 {
@@ -429,10 +431,10 @@
     return n;
 }
 
-// Operators with fresh and old views write while answers are lost and reads
-// lag, and each runs the command again when it failed.  Whatever the order:
-// "done" is there once, "lost the race" is not there, versions only grow, and
-// none is skipped.
+// Operators write, based on the newest or an older version, while answers are
+// lost and reads are stale, and run the command again.  In any order: a change
+// reported as applied is stored exactly once, one reported as having lost the
+// race is not stored, and version numbers increase without gaps.
 TEST_P(Plat, AnyOrderOfFaultsAppliesOnce)
 {
     int next_id = 0;
@@ -445,13 +447,13 @@
         int runs = *rc::gen::inRange(1, 3);
         std::string id = "id-" + std::to_string(next_id++);
         int rc = 0;
-        set(("lose_answers=" + std::to_string(lost) +
-             "&stale_reads=" + std::to_string(stale))
-                .c_str());
+        set_faults(("lose_answers=" + std::to_string(lost) +
+                    "&stale_reads=" + std::to_string(stale))
+                       .c_str());
         for (int i = 0; i < runs; i++) {
             rc = apply(next_id % 100, id.c_str(), expect);
         }
-        set("lose_answers=0&stale_reads=0");
+        set_faults("lose_answers=0&stale_reads=0");
         Bundle now;
         uint64_t revision;
         RC_ASSERT(plat_config(p, &now.b, &revision, NULL) == 0);
@@ -467,7 +469,7 @@
 
 class Parts : public Plat {
   protected:
-    // A writer that stops after any step.
+    // A writer that can be stopped after any step.
     struct Writer {
         plat_t *p = nullptr;
         Bundle now, next;
@@ -480,7 +482,7 @@
         }
     };
     void
-    read(Writer &w)
+    read_head(Writer &w)
     {
         char *head;
         bundle_free(&w.now.b);
@@ -491,7 +493,7 @@
         w.state = 1;
     }
     int
-    parts(Writer &w, int queue, const char *id)
+    write_parts(Writer &w, int queue, const char *id)
     {
         Bundle fresh(queue, id);
         std::swap(w.next.b, fresh.b);
@@ -500,7 +502,7 @@
         return store_parts(w.p, &w.next.b, &w.cur, &w.after, NULL);
     }
     int
-    head(Writer &w)
+    write_head(Writer &w)
     {
         char *json = store_head(&w.next.b, &w.after);
         uint64_t r;
@@ -509,7 +511,7 @@
         w.state = 0;
         return rc;
     }
-    // The version in force, with all its parts, for one who has none yet.
+    // The version in force, read by a client with an empty cache.
     void
     in_force(Bundle *now)
     {
@@ -554,16 +556,16 @@
     plat_free(reader);
 }
 
-// Operators' tools die between parts and head, more often than there are
-// slots.  What they leave takes no room for good.
-TEST_P(Parts, DeadWritersDontFillTheRing)
+// Operators' tools crash between writing parts and head, more often than there
+// are slots.  The slots that they leave behind become free again.
+TEST_P(Parts, CrashedWritersDontExhaustTheSlots)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
     for (int i = 0; i < SLOTS + 5; i++) {
         Writer w;
         w.p = plat_new(url.c_str());
-        read(w);
-        parts(w, 100 + i, std::to_string(i).c_str());
+        read_head(w);
+        write_parts(w, 100 + i, std::to_string(i).c_str());
     }
     EXPECT_EQ(0, apply(5, "after", 1));
     EXPECT_EQ("after", in_force());
@@ -571,28 +573,29 @@
     EXPECT_EQ("again", in_force());
 }
 
-// A tool that died is run again with its change ID: it finds its own parts.
-TEST_P(Parts, SecondTryUsesThePartsOfTheFirst)
+// A tool that crashed is run again with the same change ID: it reuses the
+// parts written before.
+TEST_P(Parts, RetryReusesThePartsOfTheFirstAttempt)
 {
     ASSERT_EQ(0, apply(4, "one", 0));
     Writer first, second;
     first.p = plat_new(url.c_str());
     second.p = plat_new(url.c_str());
-    read(first);
-    ASSERT_EQ(0, parts(first, 5, "two"));
-    read(second);
-    ASSERT_EQ(0, parts(second, 5, "two"));
+    read_head(first);
+    ASSERT_EQ(0, write_parts(first, 5, "two"));
+    read_head(second);
+    ASSERT_EQ(0, write_parts(second, 5, "two"));
     EXPECT_EQ(0, memcmp(first.after.part, second.after.part,
                         sizeof(first.after.part)));
-    ASSERT_EQ(0, head(second));
+    ASSERT_EQ(0, write_head(second));
     EXPECT_EQ("two", in_force());
 }
 
 // Writers read, write parts and write heads in any order, stop anywhere, and
-// wake after others wrote.  An accepted head names parts that were given to
-// another in between: no instance could read the version in force.  The slot's
-// compare-and-swap and the head's together rule it out.
-TEST_P(Parts, AcceptedVersionIsWholeInAnyOrderOfWriters)
+// resume after others have written.  Guards against an accepted head that
+// refers to slots which were reused in between: no instance could read the
+// version in force.  Compare-and-swap on both slot and head prevents it.
+TEST_P(Parts, AcceptedVersionIsCompleteInAnyOrderOfWriters)
 {
     ASSERT_EQ(0, apply(4, "start", 0));
     EXPECT_TRUE(rc::check("is whole", [&] {
@@ -604,21 +607,21 @@
         for (int n = *rc::gen::inRange(3, 15); n > 0; n--) {
             Writer &x = w[*rc::gen::inRange(0, 3)];
             if (x.state == 0 || *rc::gen::inRange(0, 4) == 0) {
-                read(x);
+                read_head(x);
                 continue;
             }
             if (x.state == 1) {
                 int queue = 10 + *rc::gen::inRange(0, 3);
                 int stale = *rc::gen::inRange(0, 2);
-                // Few names: writers with one name start at one slot.
+                // Few IDs: writers with the same ID start at the same slot.
                 std::string name = std::to_string(*rc::gen::inRange(0, 2));
-                set(("stale_reads=" + std::to_string(stale)).c_str());
-                x.state = parts(x, queue, name.c_str()) == 0 ? 2 : 0;
-                set("stale_reads=0");
+                set_faults(("stale_reads=" + std::to_string(stale)).c_str());
+                x.state = write_parts(x, queue, name.c_str()) == 0 ? 2 : 0;
+                set_faults("stale_reads=0");
                 continue;
             }
             uint64_t mine = x.next.b.hash;
-            expected = head(x) == 0 ? mine : expected;
+            expected = write_head(x) == 0 ? mine : expected;
             RC_ASSERT(hash_in_force() == expected);
         }
     }));
