--- a/bench/flow_bench.c
+++ b/bench/flow_bench.c
@@ -54,7 +54,7 @@
         flow_route_t *r = &c->routes[c->n_routes++];
         r->addr = address(i, 443);
         r->idempotent = true;
-        r->first = c->n_targets;
+        r->first_target = c->n_targets;
         r->n_targets = 1;
         c->targets[c->n_targets].weight = 1;
         snprintf(c->targets[c->n_targets++].service, FLOW_NAME_LEN, "s%u",
--- a/flow/choice.c
+++ b/flow/choice.c
@@ -232,7 +232,7 @@
 static const flow_target_t *
 draw_target(flowset_t *f, const flow_route_t *r)
 {
-    const flow_target_t *t = &f->conf->targets[r->first];
+    const flow_target_t *t = &f->conf->targets[r->first_target];
     uint32_t sum = 0, x;
 
     for (uint32_t i = 0; i < r->n_targets; i++) {
--- a/flow/decide.c
+++ b/flow/decide.c
@@ -16,7 +16,7 @@
     [FLOW_EVACUATED] = "evacuated",
     [FLOW_OVERLOAD] = "overload",
     [FLOW_UPSTREAM_DEAD] = "upstream-dead",
-    [FLOW_UPSTREAM_OUT] = "upstream-unreachable",
+    [FLOW_UPSTREAM_UNREACHABLE] = "upstream-unreachable",
     [FLOW_TAG_UNKNOWN] = "tag-unknown",
     [FLOW_TAG_NONE] = "tag-none",
 };
@@ -28,9 +28,9 @@
 }
 
 static void
-decide(flow_decision_t *d, flow_verb_t verb, flow_reason_t reason)
+decide(flow_decision_t *d, flow_action_t action, flow_reason_t reason)
 {
-    d->verb = verb;
+    d->action = action;
     d->reason = reason;
 }
 
@@ -62,8 +62,8 @@
     out.limit.local = u->local;
     out.limit.in_force = l->max_in_flight > 0;
     out.limit.busy = l->in_flight;
-    out.limit.most = (uint32_t)l->max_in_flight;
-    out.limit.slow = l->tail_latency;
+    out.limit.max_in_flight = (uint32_t)l->max_in_flight;
+    out.limit.tail_latency = l->tail_latency;
     out.limit.target = limit_target(&u->service->baseline);
     out.limit.refused = l->refused;
     f->spec.emit(f->spec.arg, &out);
@@ -165,7 +165,7 @@
     if (u->reach == REACH_DEAD || may_reset_unreachable(f, p, u)) {
         decide(d, FLOW_RESET,
                u->reach == REACH_DEAD ? FLOW_UPSTREAM_DEAD
-                                      : FLOW_UPSTREAM_OUT);
+                                      : FLOW_UPSTREAM_UNREACHABLE);
         d->upstream = u->a.id;
         d->service = u->a.service;
         if (r != NULL) {
@@ -185,13 +185,13 @@
     }
     if (r == NULL) {
         r = record_new(f, now, p, u, route_find(f, &p->service));
-        d->asks = p->len > 0;
+        d->begins_request = p->len > 0;
     }
     else {
         bool asked = r->request_at != 0;
         track_flow(f, now, p, r);
         touch(f, now, r);
-        d->asks = !asked && r->request_at != 0;
+        d->begins_request = !asked && r->request_at != 0;
     }
     if (r != NULL && p->ends) {
         record_ended(r); /* kept, so that the flow's last packets don't create
--- a/flow/flow.h
+++ b/flow/flow.h
@@ -43,7 +43,7 @@
     bool idempotent;   /* requests are idempotent: callers may retry them */
     uint32_t priority; /* 0: most urgent */
     ms_t goal_ms;      /* response time objective; 0: not set */
-    uint32_t first;    /* index of its first target */
+    uint32_t first_target; /* index of its first target */
     uint32_t n_targets;
 } flow_route_t;
 
@@ -74,12 +74,12 @@
     addr_t addr;
     char service[FLOW_NAME_LEN];
     char data_centre[FLOW_NAME_LEN];
-    uint32_t slots;  /* concurrent requests, at least 1 */
-    bool draining;   /* takes no new flows; open flows continue */
-    ms_t warm_up_ms; /* remaining slow start */
-    int64_t born_ms; /* start of its process, by its own wall clock; a change
-                      * means that it holds none of its former flows. 0: not
-                      * reported */
+    uint32_t slots;     /* concurrent requests, at least 1 */
+    bool draining;      /* takes no new flows; open flows continue */
+    ms_t warm_up_ms;    /* remaining slow start */
+    int64_t started_ms; /* start of its process, by its own wall clock; a
+                         * change means that it holds none of its former flows.
+                         * 0: not reported */
 } flow_upstream_t;
 
 /* ---- Packets ---- */
@@ -96,7 +96,7 @@
     ms_t age_ms;  /* time from arrival until it was read */
 } flow_packet_t;
 
-typedef enum { FLOW_FORWARD, FLOW_RESET, FLOW_DROP } flow_verb_t;
+typedef enum { FLOW_FORWARD, FLOW_RESET, FLOW_DROP } flow_action_t;
 
 typedef enum {
     FLOW_BY_TAG,        /* forwarded to the upstream identified by the tag */
@@ -115,10 +115,10 @@
                          * are evacuated */
     FLOW_OVERLOAD,      /* reset: the request would miss its goal */
     FLOW_UPSTREAM_DEAD, /* reset: the upstream has ended */
-    FLOW_UPSTREAM_OUT,  /* reset: the upstream is unreachable, and its requests
-                         * may be repeated */
-    FLOW_TAG_UNKNOWN,   /* dropped: no upstream here has that tag */
-    FLOW_TAG_NONE,      /* dropped: not an opening packet, and without a tag */
+    FLOW_UPSTREAM_UNREACHABLE, /* reset: the upstream is unreachable, and its
+                                * requests may be repeated */
+    FLOW_TAG_UNKNOWN,          /* dropped: no upstream here has that tag */
+    FLOW_TAG_NONE, /* dropped: not an opening packet, and without a tag */
     FLOW_REASONS
 } flow_reason_t;
 
@@ -126,7 +126,7 @@
 const char *flow_reason_name(flow_reason_t r);
 
 typedef struct {
-    flow_verb_t verb;
+    flow_action_t action;
     flow_reason_t reason;
     uint64_t upstream; /* upstream id; forwarded packets only */
     addr_t to;
@@ -136,7 +136,7 @@
                           * refused opening, requests of its group */
     uint32_t limit;      /* concurrency limit on BUSY; 0: none in force */
     uint64_t version;    /* version of the routes used */
-    bool asks;           /* this packet begins a request */
+    bool begins_request; /* this packet begins a request */
 } flow_decision_t;
 
 /* ---- Actions and events ---- */
@@ -180,15 +180,15 @@
         } reach;
         struct {
             const char *service;
-            bool local;       /* applies to the upstreams in this data centre,
-                               * or to those in others */
-            bool in_force;    /* the limit begins */
-            uint32_t busy;    /* requests in flight */
-            uint32_t most;    /* limit on BUSY */
-            double slow;      /* high quantile of response times, as a share of
-                               * goals */
-            double target;    /* target for that quantile */
-            uint64_t refused; /* requests refused since the limit began */
+            bool local;    /* applies to the upstreams in this data centre,
+                            * or to those in others */
+            bool in_force; /* the limit begins */
+            uint32_t busy; /* requests in flight */
+            uint32_t max_in_flight; /* limit on BUSY */
+            double tail_latency; /* high quantile of response times, as a share
+                                  * of goals */
+            double target;       /* target for that quantile */
+            uint64_t refused;    /* requests refused since the limit began */
         } limit;
     };
 } flow_out_t;
@@ -200,8 +200,8 @@
     PROBE_ANSWERED,
     PROBE_REFUSED, /* connection refused: nothing listens there */
     PROBE_RESET,   /* accepted, then reset */
-    PROBE_SILENT,
-    PROBE_NONE, /* the probe could not be sent: no result */
+    PROBE_TIMED_OUT,
+    PROBE_NOT_SENT, /* the probe could not be sent: no result */
     PROBE_RESULTS
 } flow_probe_t;
 
@@ -246,17 +246,18 @@
 int flowset_evacuate(flowset_t *f, const char *data_centre, bool evacuated,
                      uint64_t revision);
 /* Returns true if the end of an evacuation is waiting for announcements. */
-bool flowset_evacuation_ends(const flowset_t *f);
+bool flowset_evacuation_ending(const flowset_t *f);
 /* All announcements up to REVISION have been applied. */
-void flowset_upstreams_known(flowset_t *f, uint64_t revision);
+void flowset_upstreams_synced(flowset_t *f, uint64_t revision);
 bool flowset_is_evacuated(const flowset_t *f, const char *data_centre);
 /* Sets the instances, by number, that open flows at this data centre's
  * upstreams during slow start.  All of them have the same list, so that the
  * sum of their shares stays within the bound although no instance counts the
  * flows of others.  If SELF is not in the list, this instance opens none. */
-#define WARMERS_MAX 16
-void flowset_set_warmers(flowset_t *f, uint64_t self, const uint64_t *warmer,
-                         uint32_t n);
+#define WARM_UP_INSTANCES_MAX 16
+void flowset_set_warm_up_instances(flowset_t *f, uint64_t self,
+                                   const uint64_t *warm_up_instance,
+                                   uint32_t n);
 void flowset_packet(flowset_t *f, ms_t now, const flow_packet_t *p,
                     flow_decision_t *d);
 void flowset_probed(flowset_t *f, ms_t now, uint64_t id, flow_probe_t result);
@@ -275,12 +276,12 @@
     uint32_t evacuated; /* data centres */
     uint64_t packets[FLOW_REASONS];
     uint64_t probes[PROBE_RESULTS];
-    uint64_t resets;    /* resets of flows that no packet triggered */
-    uint64_t forgotten; /* records dropped at records_max */
-    hist_t answer_ms;   /* from a request to the first packet that acknowledges
-                         * a response */
-    hist_t open_ms;     /* from an opening packet to the next packet of the
-                         * flow */
+    uint64_t resets;          /* resets of flows that no packet triggered */
+    uint64_t records_evicted; /* records dropped at records_max */
+    hist_t answer_ms; /* from a request to the first packet that acknowledges
+                       * a response */
+    hist_t open_ms;   /* from an opening packet to the next packet of the
+                       * flow */
 } flow_stats_t;
 
 const flow_stats_t *flowset_stats(flowset_t *f);
@@ -304,7 +305,7 @@
     uint32_t seq;
     uint16_t len;   /* bytes of data */
     uint32_t bytes; /* size on the link, headers included */
-} paced_t;
+} paced_packet_t;
 
 /* RATE is the link's rate in bytes a second; 0: unlimited.  Returns NULL if
  * out of memory. */
@@ -314,19 +315,19 @@
 bool pacer_admit(pacer_t *p, ms_t now, uint32_t bytes);
 /* Returns the queued packet with the same data of the same flow, or NULL.  A
  * retransmission replaces it: forwarding both would only load the link. */
-paced_t *pacer_find(pacer_t *p, const flow_packet_t *packet);
+paced_packet_t *pacer_find(pacer_t *p, const flow_packet_t *packet);
 /* Queues W.  The caller keeps the number of queued packets to at most
  * PACER_MAX. */
-void pacer_push(pacer_t *p, paced_t *w);
+void pacer_push(pacer_t *p, paced_packet_t *w);
 /* Removes the last packet of the longest queue; returns NULL if none is
  * queued. */
-paced_t *pacer_evict(pacer_t *p);
+paced_packet_t *pacer_evict(pacer_t *p);
 /* Removes and counts the next packet that may be sent now; returns NULL if
  * there is none. */
-paced_t *pacer_pop(pacer_t *p, ms_t now);
+paced_packet_t *pacer_pop(pacer_t *p, ms_t now);
 /* Time at which the next packet may be sent; MS_NEVER: none is queued. */
-ms_t pacer_due(const pacer_t *p);
-uint32_t pacer_waiting(const pacer_t *p);
+ms_t pacer_next_send(const pacer_t *p);
+uint32_t pacer_queued(const pacer_t *p);
 
 #ifdef __cplusplus
 }
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -173,7 +173,7 @@
     if (u == NULL) {
         return -ENOMEM;
     }
-    if (u->a.born_ms != a->born_ms) {
+    if (u->a.started_ms != a->started_ms) {
         discard_records(f, u);
     }
     u->a = *a;
@@ -296,7 +296,7 @@
 }
 
 bool
-flowset_evacuation_ends(const flowset_t *f)
+flowset_evacuation_ending(const flowset_t *f)
 {
     for (uint32_t i = 0; i < f->n_evacuated; i++) {
         if (f->evacuated[i].ends_at != 0) {
@@ -307,7 +307,7 @@
 }
 
 void
-flowset_upstreams_known(flowset_t *f, uint64_t revision)
+flowset_upstreams_synced(flowset_t *f, uint64_t revision)
 {
     f->upstreams_revision =
         revision > f->upstreams_revision ? revision : f->upstreams_revision;
@@ -321,12 +321,14 @@
 }
 
 void
-flowset_set_warmers(flowset_t *f, uint64_t self, const uint64_t *warmer,
-                    uint32_t n)
+flowset_set_warm_up_instances(flowset_t *f, uint64_t self,
+                              const uint64_t *warm_up_instance, uint32_t n)
 {
     f->self = self;
-    f->n_warmers = n < WARMERS_MAX ? n : WARMERS_MAX;
-    memcpy(f->warmer, warmer, f->n_warmers * sizeof(*warmer));
+    f->n_warm_up_instances =
+        n < WARM_UP_INSTANCES_MAX ? n : WARM_UP_INSTANCES_MAX;
+    memcpy(f->warm_up_instance, warm_up_instance,
+           f->n_warm_up_instances * sizeof(*warm_up_instance));
 }
 
 /* ---- Time ---- */
--- a/flow/pacer.c
+++ b/flow/pacer.c
@@ -22,7 +22,7 @@
 /* A flow with queued packets. */
 typedef struct pacer_flow {
     link_t link;    /* in pacer_t.active or pacer_t.unused */
-    link_t packets; /* paced_t, oldest first */
+    link_t packets; /* paced_packet_t, oldest first */
     uint32_t n;
     addr_t caller, service;
 } pacer_flow_t;
@@ -106,7 +106,7 @@
     return NULL;
 }
 
-paced_t *
+paced_packet_t *
 pacer_find(pacer_t *p, const flow_packet_t *packet)
 {
     pacer_flow_t *f = find_flow(p, &packet->caller, &packet->service);
@@ -115,7 +115,7 @@
         return NULL;
     }
     LIST_EACH (it, &f->packets) {
-        paced_t *w = LIST_OWNER(it, paced_t, link);
+        paced_packet_t *w = LIST_OWNER(it, paced_packet_t, link);
         if (w->seq == packet->seq && w->len == packet->len) {
             return w;
         }
@@ -124,7 +124,7 @@
 }
 
 void
-pacer_push(pacer_t *p, paced_t *w)
+pacer_push(pacer_t *p, paced_packet_t *w)
 {
     pacer_flow_t *f = find_flow(p, &w->caller, &w->service);
 
@@ -142,7 +142,7 @@
 }
 
 static void
-dequeue(pacer_t *p, paced_t *w)
+dequeue(pacer_t *p, paced_packet_t *w)
 {
     pacer_flow_t *f = w->flow;
 
@@ -153,11 +153,11 @@
     list_append(f->n > 0 ? &p->active : &p->unused, &f->link);
 }
 
-paced_t *
+paced_packet_t *
 pacer_evict(pacer_t *p)
 {
     pacer_flow_t *longest = NULL;
-    paced_t *w;
+    paced_packet_t *w;
 
     LIST_EACH (it, &p->active) {
         pacer_flow_t *f = LIST_OWNER(it, pacer_flow_t, link);
@@ -168,21 +168,21 @@
     if (longest == NULL) {
         return NULL;
     }
-    w = LIST_OWNER(longest->packets.prev, paced_t, link);
+    w = LIST_OWNER(longest->packets.prev, paced_packet_t, link);
     dequeue(p, w);
     return w;
 }
 
-paced_t *
+paced_packet_t *
 pacer_pop(pacer_t *p, ms_t now)
 {
     pacer_flow_t *f = LIST_OWNER(p->active.next, pacer_flow_t, link);
-    paced_t *w;
+    paced_packet_t *w;
 
     if (p->n == 0) {
         return NULL;
     }
-    w = LIST_OWNER(f->packets.next, paced_t, link);
+    w = LIST_OWNER(f->packets.next, paced_packet_t, link);
     if (!try_send(p, now, w->bytes)) {
         return NULL;
     }
@@ -191,7 +191,7 @@
 }
 
 ms_t
-pacer_due(const pacer_t *p)
+pacer_next_send(const pacer_t *p)
 {
     double excess = p->backlog - p->queue_max;
 
@@ -202,7 +202,7 @@
 }
 
 uint32_t
-pacer_waiting(const pacer_t *p)
+pacer_queued(const pacer_t *p)
 {
     return p->n;
 }
--- a/flow/reach.c
+++ b/flow/reach.c
@@ -198,7 +198,7 @@
     LIST_EACH (it, &u->records) {
         record_t *r = LIST_OWNER(it, record_t, by_upstream);
         if (r->open && !r->ended && r->idempotent && r->request_at != 0) {
-            reset(f, r, FLOW_UPSTREAM_OUT);
+            reset(f, r, FLOW_UPSTREAM_UNREACHABLE);
         }
     }
 }
@@ -302,9 +302,9 @@
 static void
 update_probe_loss(flowset_t *f, upstream_t *u, flow_probe_t result)
 {
-    if (u->is_control && result != PROBE_NONE) {
+    if (u->is_control && result != PROBE_NOT_SENT) {
         f->probe_loss +=
-            PROBE_LOSS_WEIGHT * ((result == PROBE_SILENT) - f->probe_loss);
+            PROBE_LOSS_WEIGHT * ((result == PROBE_TIMED_OUT) - f->probe_loss);
     }
     u->is_control = false;
 }
@@ -338,10 +338,10 @@
         u->timeouts = 0;
         schedule(f, u, now + RESET_RETRY_MS);
         break;
-    case PROBE_SILENT:
+    case PROBE_TIMED_OUT:
         on_probe_timeout(f, now, u);
         break;
-    case PROBE_NONE:
+    case PROBE_NOT_SENT:
     case PROBE_RESULTS:
         schedule(f, u, next_retry(u, now));
         break;
--- a/flow/records.c
+++ b/flow/records.c
@@ -60,7 +60,7 @@
     record_t *r;
 
     if (f->n_records >= f->spec.records_max) {
-        f->stats.forgotten++;
+        f->stats.records_evicted++;
         record_free(f, LIST_OWNER(f->recent.next, record_t, recent));
     }
     r = calloc(1, sizeof(*r));
--- a/flow/state.h
+++ b/flow/state.h
@@ -174,9 +174,9 @@
     link_t upstreams, services, recent, suspects;
     link_t opening, pending, slow; /* records, by record_t.waiting */
     uint32_t n_upstreams, n_records;
-    uint64_t self; /* this instance, among the warmers */
-    uint32_t n_warmers;
-    uint64_t warmer[WARMERS_MAX];
+    uint64_t self; /* this instance, among the warm-up instances */
+    uint32_t n_warm_up_instances;
+    uint64_t warm_up_instance[WARM_UP_INSTANCES_MAX];
     uint32_t n_evacuated; /* entries of evacuated */
     evacuation_t evacuated[EVACUATIONS_MAX];
     uint64_t upstreams_revision; /* store revision that the upstreams are
--- a/flow/warmup.c
+++ b/flow/warmup.c
@@ -30,8 +30,8 @@
                      : 0;
 }
 
-/* Rank of this instance among the warmers at U by rendezvous hashing; the
- * number of warmers if it is not one of them. */
+/* Rank of this instance among the warm-up instances at U by rendezvous
+ * hashing; the number of warm-up instances if it is not one of them. */
 static uint32_t
 rank_of_self(const flowset_t *f, const upstream_t *u)
 {
@@ -39,11 +39,11 @@
     uint32_t rank = 0;
     bool listed = false;
 
-    for (uint32_t i = 0; i < f->n_warmers; i++) {
-        listed = listed || f->warmer[i] == f->self;
-        rank += hash_mix(f->warmer[i], u->a.id) < own;
+    for (uint32_t i = 0; i < f->n_warm_up_instances; i++) {
+        listed = listed || f->warm_up_instance[i] == f->self;
+        rank += hash_mix(f->warm_up_instance[i], u->a.id) < own;
     }
-    return listed ? rank : f->n_warmers;
+    return listed ? rank : f->n_warm_up_instances;
 }
 
 /* Interval between new flows of this instance at U during slow start; 0:
@@ -53,13 +53,15 @@
 {
     double bound = SAFETY_FACTOR * max_rate(f, u);
     uint32_t max = bound < UINT16_MAX ? (uint32_t)bound : UINT16_MAX;
-    uint32_t shares =
-        f->n_warmers > WARM_UP_SHARES_MIN ? f->n_warmers : WARM_UP_SHARES_MIN;
+    uint32_t shares = f->n_warm_up_instances > WARM_UP_SHARES_MIN
+                          ? f->n_warm_up_instances
+                          : WARM_UP_SHARES_MIN;
 
     if (bound == 0) {
         return 0;
     }
-    if (!u->local || max == 0 || rank_of_self(f, u) >= f->n_warmers) {
+    if (!u->local || max == 0 ||
+        rank_of_self(f, u) >= f->n_warm_up_instances) {
         return MS_NEVER;
     }
     if (shares <= max) {
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -70,7 +70,7 @@
     }
     addr_text(&in->caller, caller);
     addr_text(&in->service, service);
-    switch (d->verb) {
+    switch (d->action) {
     case FLOW_FORWARD:
         log_line(LVL_INFO, "flow",
                  "Opening. flow=%s>%s copy=%u reason=%s upstream=%llx to=%s "
@@ -95,8 +95,8 @@
         log_line(LVL_INFO, "flow",
                  "%s. flow=%s>%s reason=%s tag=%x upstream=%llx seq=%u "
                  "len=%u waited_ms=%lld version=%llu replica_age_ms=%lld",
-                 d->verb == FLOW_RESET ? "Reset" : "Dropped", caller, service,
-                 flow_reason_name(d->reason), in->tag,
+                 d->action == FLOW_RESET ? "Reset" : "Dropped", caller,
+                 service, flow_reason_name(d->reason), in->tag,
                  (unsigned long long)d->upstream, in->seq, in->len,
                  (long long)in->age_ms, (unsigned long long)d->version,
                  (long long)(p->now - p->current_at));
@@ -110,7 +110,8 @@
 {
     char id[PACKET_ID_LEN], caller[ADDR_STRLEN], service[ADDR_STRLEN];
 
-    if (d->asks && packet_request_id(data, len, id) && log_allowed(p)) {
+    if (d->begins_request && packet_request_id(data, len, id) &&
+        log_allowed(p)) {
         log_line(LVL_INFO, "request",
                  "Begins. request=%s flow=%s>%s upstream=%llx busy=%u", id,
                  addr_text(&in->caller, caller),
@@ -141,8 +142,8 @@
              "slow_share=%.2f target_share=%.2f refused=%llu",
              out->limit.in_force ? "In force" : "Ended", out->limit.service,
              out->limit.local ? "own" : "others", out->limit.busy,
-             out->limit.most, out->limit.slow, out->limit.target,
-             (unsigned long long)out->limit.refused);
+             out->limit.max_in_flight, out->limit.tail_latency,
+             out->limit.target, (unsigned long long)out->limit.refused);
 }
 
 /* ---- Output of the flow set ---- */
@@ -320,7 +321,7 @@
 static void
 apply_updates(packets_t *p, duty_t *self)
 {
-    bool ends = flowset_evacuation_ends(p->flows);
+    bool ends = flowset_evacuation_ending(p->flows);
     bool locked = ends && pthread_mutex_trylock(&p->t->follow_lock) == 0;
     uint64_t known = 0;
     void *msg;
@@ -334,7 +335,7 @@
         changes_free(msg);
     }
     if (ends) {
-        flowset_upstreams_known(p->flows, known);
+        flowset_upstreams_synced(p->flows, known);
     }
 }
 
@@ -353,7 +354,7 @@
     in.age_ms = age;
     flowset_packet(p->flows, p->now, &in, &d);
     log_decision(p, &in, &d);
-    switch (d.verb) {
+    switch (d.action) {
     case FLOW_FORWARD:
         if (in.opens) {
             packet_set_tag(data, d.tag);
@@ -398,15 +399,16 @@
 static void
 update_warmers(packets_t *p)
 {
-    uint64_t self, warmer[WARMERS_MAX];
+    uint64_t self, warm_up_instance[WARM_UP_INSTANCES_MAX];
     uint32_t n;
 
     if (pthread_mutex_trylock(&p->t->follow_lock) != 0) {
         return; /* retried at the next call */
     }
-    n = sources_local(&p->t->sources, &self, warmer, WARMERS_MAX);
+    n = sources_local(&p->t->sources, &self, warm_up_instance,
+                      WARM_UP_INSTANCES_MAX);
     pthread_mutex_unlock(&p->t->follow_lock);
-    flowset_set_warmers(p->flows, self, warmer, n);
+    flowset_set_warm_up_instances(p->flows, self, warm_up_instance, n);
 }
 
 /* Exchanges state with other duties. */
--- a/tagged/probes.c
+++ b/tagged/probes.c
@@ -88,9 +88,9 @@
     case ENOBUFS:
     case ENOMEM:
     case EADDRNOTAVAIL:
-        return PROBE_NONE; /* a local resource limit */
+        return PROBE_NOT_SENT; /* a local resource limit */
     default:
-        return PROBE_SILENT;
+        return PROBE_TIMED_OUT;
     }
 }
 
--- a/tagged/report.c
+++ b/tagged/report.c
@@ -14,8 +14,8 @@
 
 static const char *const probe_names[PROBE_RESULTS] = {
     [PROBE_ANSWERED] = "answered", [PROBE_REFUSED] = "refused",
-    [PROBE_RESET] = "reset",       [PROBE_SILENT] = "silent",
-    [PROBE_NONE] = "not-made",
+    [PROBE_RESET] = "reset",       [PROBE_TIMED_OUT] = "silent",
+    [PROBE_NOT_SENT] = "not-made",
 };
 
 static void
@@ -29,7 +29,8 @@
     metric_print(f, "gauge", "siskin_flows", s->records);
     metric_print(f, "gauge", "siskin_limits_in_force", s->limits);
     metric_print(f, "counter", "siskin_flows_reset_total", s->resets);
-    metric_print(f, "counter", "siskin_flows_forgotten_total", s->forgotten);
+    metric_print(f, "counter", "siskin_flows_forgotten_total",
+                 s->records_evicted);
     fprintf(f, "# TYPE siskin_packets_total counter\n");
     for (int i = 0; i < FLOW_REASONS; i++) {
         fprintf(f, "siskin_packets_total{reason=\"%s\"} %llu\n",
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -14,7 +14,7 @@
 
 /* A packet queued for the link. */
 typedef struct {
-    paced_t paced;
+    paced_packet_t paced;
     addr_t to;
     uint64_t upstream;
     size_t len;
@@ -139,7 +139,7 @@
 /* ---- Queued packets ---- */
 
 static queued_packet_t *
-queued_of(paced_t *w)
+queued_of(paced_packet_t *w)
 {
     return w != NULL ? LIST_OWNER(w, queued_packet_t, paced) : NULL;
 }
@@ -161,7 +161,7 @@
         s->full_line_at = now;
         log_line(LVL_WARN, "packets",
                  "Link full, packets dropped. waiting=%u dropped=%llu",
-                 pacer_waiting(s->pacer),
+                 pacer_queued(s->pacer),
                  (unsigned long long)counter_read(&s->t->count.evicted));
     }
     return queued_of(pacer_evict(s->pacer));
@@ -216,7 +216,7 @@
 ms_t
 sender_tick(sender_t *s, ms_t now)
 {
-    paced_t *w;
+    paced_packet_t *w;
 
     while ((w = pacer_pop(s->pacer, now)) != NULL) {
         queued_packet_t *q = queued_of(w);
@@ -224,5 +224,5 @@
         list_append(&s->free_list, &w->link); /* not reused before the flush */
     }
     sender_flush(s);
-    return pacer_due(s->pacer);
+    return pacer_next_send(s->pacer);
 }
--- a/test/flow_bed.h
+++ b/test/flow_bed.h
@@ -88,7 +88,7 @@
             to->idempotent = r.idempotent;
             to->goal_ms = r.goal_ms;
             to->priority = r.priority;
-            to->first = c->n_targets++;
+            to->first_target = c->n_targets++;
             to->n_targets = 1;
             strcpy(t->service, r.service.c_str());
             t->weight = 1;
@@ -159,7 +159,7 @@
     open(int caller, const char *service)
     {
         flow_decision_t d = packet(syn(caller, service));
-        if (d.verb != FLOW_FORWARD) {
+        if (d.action != FLOW_FORWARD) {
             return 0;
         }
         now += 10;
--- a/test/flow_load_test.cc
+++ b/test/flow_load_test.cc
@@ -133,12 +133,12 @@
     {
         Request &r = requests[i];
         flow_decision_t d = bed(i).packet(FlowBed::syn(1 + i, r.route, copy));
-        if (d.verb == FLOW_RESET && r.tries < MAX_TRIES) {
+        if (d.action == FLOW_RESET && r.tries < MAX_TRIES) {
             r.tries++;
             r.instance = (int)rng_below(&rng, (uint32_t)instances.size());
             at(now + RETRY_DELAY_MS, EventKind::OPEN, i);
         }
-        if (d.verb != FLOW_FORWARD) {
+        if (d.action != FLOW_FORWARD) {
             return;
         }
         requests[i].upstream =
@@ -674,7 +674,8 @@
            FLOW_OVERLOAD) {
         ASSERT_LT(caller, 60200);
     }
-    EXPECT_EQ(full->packet(FlowBed::syn(60300, ROUTE, 1)).verb, FLOW_FORWARD);
+    EXPECT_EQ(full->packet(FlowBed::syn(60300, ROUTE, 1)).action,
+              FLOW_FORWARD);
 }
 
 /* The callers of one data centre offer 1.6 times the capacity of its
--- a/test/flow_prop_test.cc
+++ b/test/flow_prop_test.cc
@@ -82,7 +82,7 @@
         if (result == PROBE_REFUSED) {
             refused.insert(id);
         }
-        silent[id] = result == PROBE_SILENT     ? silent[id] + 1
+        silent[id] = result == PROBE_TIMED_OUT  ? silent[id] + 1
                      : result == PROBE_ANSWERED ? 0
                      : result == PROBE_RESET    ? 0
                                                 : silent[id];
@@ -125,7 +125,7 @@
         const char *route = caller % 3 ? FEED : COMMAND;
         flow_decision_t d = bed.packet(FlowBed::syn(caller, route));
 
-        if (d.verb != FLOW_FORWARD) {
+        if (d.action != FLOW_FORWARD) {
             RC_ASSERT(d.reason == FLOW_NO_UPSTREAM ||
                       (d.reason == FLOW_EVACUATED && !evacuated.empty()));
             return;
@@ -157,7 +157,7 @@
                                         5000 + rng_below(&rng, 3) * 10);
         p.ends = rng_below(&rng, 10) == 0;
         flow_decision_t d = bed.packet(p);
-        switch (d.verb) {
+        switch (d.action) {
         case FLOW_FORWARD:
             RC_ASSERT(d.upstream == tag[caller]);
             break;
@@ -236,7 +236,7 @@
             m.bed.announce(FlowBed::upstream(id, "svc", "dc-a"));
         }
         flow_decision_t d = m.bed.packet(FlowBed::syn(500, FEED));
-        if (d.verb == FLOW_FORWARD) {
+        if (d.action == FLOW_FORWARD) {
             RC_ASSERT(d.open == 0 && d.busy == 0);
         }
     }));
--- a/test/flow_test.cc
+++ b/test/flow_test.cc
@@ -38,11 +38,11 @@
     probe_with_controls(flow_probe_t second, flow_probe_t third)
     {
         raise_suspicion((int)open_at(0x11, 1), 0x11);
-        bed.probed(0x11, PROBE_SILENT);
+        bed.probed(0x11, PROBE_TIMED_OUT);
         for (flow_probe_t control : {second, third}) {
             bed.now += 100;
             bed.probed(0x12, control);
-            bed.probed(0x11, PROBE_SILENT);
+            bed.probed(0x11, PROBE_TIMED_OUT);
         }
         EXPECT_TRUE(bed.resets.empty());
         for (const flow_out_t &r : bed.reaches) {
@@ -68,7 +68,7 @@
 {
     flow_decision_t d = bed.packet(FlowBed::syn(1, FEED));
 
-    EXPECT_EQ(d.verb, FLOW_FORWARD);
+    EXPECT_EQ(d.action, FLOW_FORWARD);
     EXPECT_EQ(d.reason, FLOW_CHOSEN);
     EXPECT_EQ(d.tag, (uint32_t)d.upstream);
     EXPECT_STREQ(d.service, "svc");
@@ -80,7 +80,7 @@
 {
     flow_decision_t d = bed.packet(FlowBed::data(77, FEED, 0x21, 4000, 100));
 
-    EXPECT_EQ(d.verb, FLOW_FORWARD);
+    EXPECT_EQ(d.action, FLOW_FORWARD);
     EXPECT_EQ(d.reason, FLOW_BY_TAG);
     EXPECT_EQ(d.upstream, 0x21u);
 }
@@ -89,7 +89,7 @@
 {
     flow_decision_t d = bed.packet(FlowBed::syn(1, "198.18.0.9:443"));
 
-    EXPECT_EQ(d.verb, FLOW_RESET);
+    EXPECT_EQ(d.action, FLOW_RESET);
     EXPECT_EQ(d.reason, FLOW_NO_ROUTE);
 }
 
@@ -103,7 +103,7 @@
 {
     flow_decision_t d = bed.packet(FlowBed::data(5, FEED, 0x99, 4000, 100));
 
-    EXPECT_EQ(d.verb, FLOW_DROP); /* its upstream may be alive */
+    EXPECT_EQ(d.action, FLOW_DROP); /* its upstream may be alive */
     EXPECT_EQ(d.reason, FLOW_TAG_UNKNOWN);
 }
 
@@ -164,7 +164,7 @@
     for (int caller = 1; caller < 100; caller++) {
         EXPECT_NE(bed.packet(FlowBed::syn(caller, FEED)).upstream, 0x11u);
     }
-    EXPECT_EQ(bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).verb,
+    EXPECT_EQ(bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).action,
               FLOW_FORWARD);
     EXPECT_TRUE(bed.resets.empty());
 }
@@ -179,11 +179,11 @@
         bed.probed(id, PROBE_ANSWERED);
     }
     bed.advance(1900);
-    EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).verb, FLOW_FORWARD);
+    EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).action, FLOW_FORWARD);
     bed.advance(200);
     EXPECT_EQ(bed.packet(FlowBed::syn(2, FEED)).reason, FLOW_NO_UPSTREAM);
     EXPECT_TRUE(bed.resets.empty());
-    EXPECT_EQ(bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).verb,
+    EXPECT_EQ(bed.packet(FlowBed::data(900, FEED, 0x11, 1, 1)).action,
               FLOW_FORWARD);
     bed.announce(FlowBed::upstream(0x11, "svc", "dc-a"));
     EXPECT_EQ(bed.packet(FlowBed::syn(3, FEED)).upstream, 0x11u);
@@ -234,7 +234,7 @@
     bed.probed(0x11, PROBE_REFUSED);
     EXPECT_TRUE(bed.resets.empty());
     EXPECT_EQ(
-        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 10)).verb,
+        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 10)).action,
         FLOW_FORWARD);
     bed.advance(500);
     bed.probed(0x11, PROBE_REFUSED);
@@ -288,7 +288,7 @@
     }
     EXPECT_TRUE(bed.resets.empty());
     EXPECT_EQ(
-        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1101, 10)).verb,
+        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1101, 10)).action,
         FLOW_FORWARD);
 }
 
@@ -322,7 +322,7 @@
     bed.announce(next);
     EXPECT_FALSE(bed.resets.empty());
     d = bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 10));
-    EXPECT_EQ(d.verb, FLOW_RESET);
+    EXPECT_EQ(d.action, FLOW_RESET);
     EXPECT_EQ(d.reason, FLOW_UPSTREAM_DEAD);
 }
 
@@ -342,7 +342,7 @@
         bed.announce(previous_first ? previous : next);
         bed.announce(previous_first ? next : previous);
         EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).upstream, 0x42u);
-        EXPECT_EQ(bed.packet(FlowBed::data(2, FEED, 0x42, 1, 1)).verb,
+        EXPECT_EQ(bed.packet(FlowBed::data(2, FEED, 0x42, 1, 1)).action,
                   FLOW_FORWARD);
         EXPECT_EQ(bed.packet(FlowBed::data(3, FEED, 0x41, 1, 1)).reason,
                   FLOW_UPSTREAM_DEAD);
@@ -356,7 +356,7 @@
     flow_upstream_t u = FlowBed::upstream(0x11, "svc", "dc-a");
 
     ASSERT_NE(open_at(0x11, 1), 0u);
-    u.born_ms = 1772060000000;
+    u.started_ms = 1772060000000;
     bed.resets.clear();
     bed.announce(u);
     EXPECT_TRUE(bed.resets.empty());
@@ -376,7 +376,7 @@
     bed.probed(0x11, PROBE_ANSWERED);
     EXPECT_TRUE(bed.resets.empty());
     EXPECT_EQ(
-        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 100)).verb,
+        bed.packet(FlowBed::data((int)caller, FEED, 0x11, 1001, 100)).action,
         FLOW_FORWARD);
     EXPECT_EQ(bed.probes.size(), 1u); /* no new probe during the grace
                                        * period */
@@ -501,18 +501,18 @@
     flow_packet_t late = FlowBed::syn(1, NO_ROUTE);
 
     late.age_ms = 150;
-    EXPECT_EQ(bed.packet(late).verb, FLOW_DROP);
-    EXPECT_EQ(bed.packet(FlowBed::syn(2, NO_ROUTE, 1)).verb, FLOW_DROP);
-    EXPECT_EQ(bed.packet(FlowBed::syn(3, NO_ROUTE)).verb, FLOW_RESET);
+    EXPECT_EQ(bed.packet(late).action, FLOW_DROP);
+    EXPECT_EQ(bed.packet(FlowBed::syn(2, NO_ROUTE, 1)).action, FLOW_DROP);
+    EXPECT_EQ(bed.packet(FlowBed::syn(3, NO_ROUTE)).action, FLOW_RESET);
     for (uint64_t id : {0x11, 0x12, 0x21}) {
         flowset_remove_upstream(bed.flows, bed.now, id);
         bed.probed(id, PROBE_REFUSED);
     }
     late.service = address(FEED);
-    EXPECT_EQ(bed.packet(late).verb, FLOW_DROP);
+    EXPECT_EQ(bed.packet(late).action, FLOW_DROP);
     EXPECT_EQ(bed.packet(late).reason, FLOW_NO_UPSTREAM);
-    EXPECT_EQ(bed.packet(FlowBed::syn(2, FEED, 1)).verb, FLOW_DROP);
-    EXPECT_EQ(bed.packet(FlowBed::syn(3, FEED)).verb, FLOW_RESET);
+    EXPECT_EQ(bed.packet(FlowBed::syn(2, FEED, 1)).action, FLOW_DROP);
+    EXPECT_EQ(bed.packet(FlowBed::syn(3, FEED)).action, FLOW_RESET);
 }
 
 /* Packets that waited to be read date from their arrival: the caller's flow
@@ -603,29 +603,29 @@
     bed.packet(FlowBed::data(901, COMMAND, 0x11, 1, 10));
     raise_suspicion(a, 0x11);
     bed.now += 200;
-    bed.probed(0x11, PROBE_SILENT);
+    bed.probed(0x11, PROBE_TIMED_OUT);
     /* The probe may have been lost: the next has a control probe of another
      * upstream. */
     ASSERT_EQ(bed.probes.size(), 3u);
     EXPECT_EQ(bed.probes[1].upstream, 0x11u);
     EXPECT_EQ(bed.probes[2].upstream, 0x12u);
     bed.probed(0x12, PROBE_ANSWERED);
-    bed.probed(0x11, PROBE_SILENT);
+    bed.probed(0x11, PROBE_TIMED_OUT);
     bed.probed(0x12, PROBE_ANSWERED);
-    EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).verb,
+    EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).action,
               FLOW_FORWARD);
     bed.now += 200;
     EXPECT_TRUE(bed.resets.empty());
-    bed.probed(0x11, PROBE_SILENT);
+    bed.probed(0x11, PROBE_TIMED_OUT);
     ASSERT_EQ(bed.resets.size(), 1u); /* A has a pending request that may be
                                        * repeated */
     EXPECT_EQ(bed.resets[0].reset.caller.port, a);
-    EXPECT_EQ(bed.resets[0].reset.reason, FLOW_UPSTREAM_OUT);
+    EXPECT_EQ(bed.resets[0].reset.reason, FLOW_UPSTREAM_UNREACHABLE);
     EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).reason,
-              FLOW_UPSTREAM_OUT);
-    EXPECT_EQ(bed.packet(FlowBed::data(a + 1, FEED, 0x11, 1001, 0)).verb,
+              FLOW_UPSTREAM_UNREACHABLE);
+    EXPECT_EQ(bed.packet(FlowBed::data(a + 1, FEED, 0x11, 1001, 0)).action,
               FLOW_FORWARD);
-    EXPECT_EQ(bed.packet(FlowBed::data(901, COMMAND, 0x11, 1, 10)).verb,
+    EXPECT_EQ(bed.packet(FlowBed::data(901, COMMAND, 0x11, 1, 10)).action,
               FLOW_FORWARD);
     for (int caller = 200; caller < 250; caller++) {
         EXPECT_NE(bed.packet(FlowBed::syn(caller, FEED)).upstream, 0x11u);
@@ -644,7 +644,7 @@
         bed.probes.clear();
         bed.now += 100;
         for (const flow_out_t &p : pending) {
-            bed.probed(p.upstream, PROBE_SILENT);
+            bed.probed(p.upstream, PROBE_TIMED_OUT);
         }
         bed.advance(300);
     }
@@ -652,21 +652,21 @@
     for (const flow_out_t &r : bed.reaches) {
         EXPECT_NE(r.reach.to, REACH_UNREACHABLE);
     }
-    EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).verb,
+    EXPECT_EQ(bed.packet(FlowBed::data(a, FEED, 0x11, 1001, 100)).action,
               FLOW_FORWARD);
-    EXPECT_EQ(bed.packet(FlowBed::syn(500, FEED)).verb, FLOW_FORWARD);
+    EXPECT_EQ(bed.packet(FlowBed::syn(500, FEED)).action, FLOW_FORWARD);
 }
 
 /* A nearly saturated link drops some packets and passes others.  A single
  * answered control probe is then no proof; two are required. */
 TEST_F(Flow, OneAnswerBesideASilentProbeProvesNothing)
 {
-    probe_with_controls(PROBE_ANSWERED, PROBE_SILENT);
+    probe_with_controls(PROBE_ANSWERED, PROBE_TIMED_OUT);
 }
 
 TEST_F(Flow, NorDoesTheSecondAnswerAlone)
 {
-    probe_with_controls(PROBE_SILENT, PROBE_ANSWERED);
+    probe_with_controls(PROBE_TIMED_OUT, PROBE_ANSWERED);
 }
 
 /* A burst of uploads saturates a small instance's link for a minute: a third
@@ -701,7 +701,7 @@
             bed.now += 100;
             for (const flow_out_t &p : pending) {
                 bed.probed(p.upstream, rng_below(&rng, 3) == 0
-                                           ? PROBE_SILENT
+                                           ? PROBE_TIMED_OUT
                                            : PROBE_ANSWERED);
             }
         }
@@ -723,7 +723,7 @@
     for (int i = 0; i < 3; i++) {
         bed.now += 100;
         bed.probed(0x12, PROBE_ANSWERED);
-        bed.probed(0x11, PROBE_SILENT);
+        bed.probed(0x11, PROBE_TIMED_OUT);
     }
     before = bed.probes.size();
     bed.advance(500);
@@ -759,7 +759,7 @@
     for (int i = 0; i < 20000; i += 50) {
         if (i % 200 == 0) {
             bed.probed(0x12, PROBE_ANSWERED);
-            bed.probed(0x11, PROBE_SILENT);
+            bed.probed(0x11, PROBE_TIMED_OUT);
         }
         bed.advance(50);
     }
@@ -822,7 +822,7 @@
     int a = (int)open_at(0x11, 1);
 
     raise_suspicion(a, 0x11);
-    bed.probed(0x11, PROBE_NONE);
+    bed.probed(0x11, PROBE_NOT_SENT);
     bed.advance(500);
     EXPECT_EQ(bed.probes.size(), 2u);
 }
@@ -839,8 +839,8 @@
         bed.open(caller, FEED);
     }
     EXPECT_EQ(bed.stats()->records, 256u);
-    EXPECT_GE(bed.stats()->forgotten, 700u);
-    EXPECT_EQ(bed.packet(FlowBed::data(1, FEED, 0x11, 1001, 10)).verb,
+    EXPECT_GE(bed.stats()->records_evicted, 700u);
+    EXPECT_EQ(bed.packet(FlowBed::data(1, FEED, 0x11, 1001, 10)).action,
               FLOW_FORWARD);
 }
 
@@ -893,7 +893,7 @@
     bed.advance(1000);
     flow_decision_t d =
         bed.packet(FlowBed::data(caller, FEED, 0x11, 1001, 100));
-    EXPECT_EQ(d.verb, FLOW_FORWARD);
+    EXPECT_EQ(d.action, FLOW_FORWARD);
     EXPECT_EQ(d.upstream, 0x11u);
     EXPECT_TRUE(bed.resets.empty());
     /* The same at an instance that has never seen the flow. */
@@ -920,11 +920,11 @@
     flowset_evacuate(bed.flows, "dc-a", true, 0);
     flowset_evacuate(bed.flows, "dc-b", true, 0);
     flow_decision_t d = bed.packet(FlowBed::syn(1, FEED));
-    EXPECT_EQ(d.verb, FLOW_RESET);
+    EXPECT_EQ(d.action, FLOW_RESET);
     EXPECT_EQ(d.reason, FLOW_EVACUATED);
     /* Another instance may have opened the flow before. */
     d = bed.packet(FlowBed::syn(2, FEED, 1));
-    EXPECT_EQ(d.verb, FLOW_DROP);
+    EXPECT_EQ(d.action, FLOW_DROP);
     EXPECT_EQ(d.reason, FLOW_EVACUATED);
 }
 
@@ -982,14 +982,14 @@
 TEST_F(Flow, AnEvacuationEndsOnlyWhenTheUpstreamsAreKnownAsOfThen)
 {
     flowset_evacuate(bed.flows, "dc-a", true, 50);
-    flowset_upstreams_known(bed.flows, 55);
+    flowset_upstreams_synced(bed.flows, 55);
     flowset_evacuate(bed.flows, "dc-a", false, 60);
-    EXPECT_TRUE(flowset_evacuation_ends(bed.flows));
+    EXPECT_TRUE(flowset_evacuation_ending(bed.flows));
     EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).upstream, 0x21u);
-    flowset_upstreams_known(bed.flows, 59);
+    flowset_upstreams_synced(bed.flows, 59);
     EXPECT_EQ(bed.packet(FlowBed::syn(2, FEED)).upstream, 0x21u);
-    flowset_upstreams_known(bed.flows, 60);
-    EXPECT_FALSE(flowset_evacuation_ends(bed.flows));
+    flowset_upstreams_synced(bed.flows, 60);
+    EXPECT_FALSE(flowset_evacuation_ending(bed.flows));
     EXPECT_NE(bed.packet(FlowBed::syn(3, FEED)).upstream, 0x21u);
 }
 
@@ -1000,7 +1000,7 @@
     flowset_evacuate(bed.flows, "dc-a", true, 50);
     flowset_evacuate(bed.flows, "dc-a", false, 60);
     flowset_evacuate(bed.flows, "dc-a", true, 61);
-    flowset_upstreams_known(bed.flows, 70);
+    flowset_upstreams_synced(bed.flows, 70);
     EXPECT_EQ(bed.packet(FlowBed::syn(1, FEED)).upstream, 0x21u);
     EXPECT_EQ(bed.stats()->evacuated, 1u);
 }
--- a/test/pacer_test.cc
+++ b/test/pacer_test.cc
@@ -18,7 +18,7 @@
 /* ---- The queue itself ---- */
 
 struct Waiting {
-    paced_t paced;
+    paced_packet_t paced;
     int id;
 };
 
@@ -57,7 +57,7 @@
     }
 
     static int
-    id_of(paced_t *w)
+    id_of(paced_packet_t *w)
     {
         return w != nullptr ? LIST_OWNER(w, Waiting, paced)->id : -1;
     }
@@ -68,7 +68,7 @@
     {
         std::vector<int> out;
         for (ms_t now = from; now <= to; now++) {
-            for (paced_t *w; (w = pacer_pop(p, now)) != nullptr;) {
+            for (paced_packet_t *w; (w = pacer_pop(p, now)) != nullptr;) {
                 out.push_back(id_of(w));
             }
         }
@@ -83,7 +83,7 @@
     for (int i = 0; i < 10000; i++) {
         ASSERT_TRUE(pacer_admit(p.p, 0, PACKET));
     }
-    EXPECT_EQ(pacer_due(p.p), MS_NEVER);
+    EXPECT_EQ(pacer_next_send(p.p), MS_NEVER);
 }
 
 TEST(Pacer, KeepsToTheRate)
@@ -114,7 +114,7 @@
     }
     p.push(30, Pacer::packet(3, 0, 0), 68);
     EXPECT_EQ(p.drain(0, 100), (std::vector<int>{10, 20, 30, 11, 21, 12, 22}));
-    EXPECT_EQ(pacer_waiting(p.p), 0u);
+    EXPECT_EQ(pacer_queued(p.p), 0u);
 }
 
 TEST(Pacer, DueIsWhenAPacketMayLeave)
@@ -124,7 +124,7 @@
     while (pacer_admit(p.p, 0, PACKET)) {
     }
     p.push(1, Pacer::packet(1, 0));
-    ms_t due = pacer_due(p.p);
+    ms_t due = pacer_next_send(p.p);
     EXPECT_GT(due, 0);
     EXPECT_EQ(pacer_pop(p.p, due - 1), nullptr);
     EXPECT_EQ(Pacer::id_of(pacer_pop(p.p, due)), 1);
@@ -154,7 +154,7 @@
     }
     EXPECT_EQ(Pacer::id_of(pacer_evict(p.p)), 22);
     EXPECT_EQ(Pacer::id_of(pacer_evict(p.p)), 21);
-    EXPECT_EQ(pacer_waiting(p.p), 2u);
+    EXPECT_EQ(pacer_queued(p.p), 2u);
 }
 
 TEST(Pacer, HoldsAsManyFlowsAsPackets)
@@ -169,7 +169,7 @@
     }
     EXPECT_EQ(pacer_evict(p.p), nullptr);
     p.push(1, Pacer::packet(1, 0));
-    EXPECT_EQ(pacer_waiting(p.p), 1u);
+    EXPECT_EQ(pacer_queued(p.p), 1u);
 }
 
 /* ---- A link full of uploads ---- */
@@ -268,7 +268,7 @@
     void
     enqueue(int id, const flow_packet_t &in, uint32_t bytes)
     {
-        if (pacer_waiting(pacer.p) == PACER_MAX) {
+        if (pacer_queued(pacer.p) == PACER_MAX) {
             evicted++;
             pacer_evict(pacer.p);
         }
@@ -347,7 +347,7 @@
                 send_window(u);
             }
         }
-        for (paced_t *w; (w = pacer_pop(pacer.p, now)) != nullptr;) {
+        for (paced_packet_t *w; (w = pacer_pop(pacer.p, now)) != nullptr;) {
             int id = Pacer::id_of(w);
             if (id >= 500000) {
                 transmit_short(id);
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -142,7 +142,7 @@
     EXPECT_EQ(ev.upstream.slots, 3u);
     EXPECT_TRUE(ev.upstream.draining);
     EXPECT_EQ(ev.upstream.warm_up_ms, 1500);
-    EXPECT_EQ(ev.upstream.born_ms, 1772060000000);
+    EXPECT_EQ(ev.upstream.started_ms, 1772060000000);
     EXPECT_STREQ(ev.upstream.data_centre, "z");
 }
 
@@ -219,7 +219,7 @@
     EXPECT_FALSE(c->routes[0].idempotent);
     EXPECT_TRUE(c->routes[1].idempotent);
     EXPECT_EQ(c->routes[1].n_targets, 2u);
-    EXPECT_STREQ(c->targets[c->routes[1].first + 1].service, "b");
+    EXPECT_STREQ(c->targets[c->routes[1].first_target + 1].service, "b");
     flow_conf_free(c);
 }
 
--- a/test/probes_test.cc
+++ b/test/probes_test.cc
@@ -122,7 +122,7 @@
         EXPECT_EQ(start(id, a, 150), 0);
     }
     finish();
-    EXPECT_EQ(done[8], PROBE_SILENT);
+    EXPECT_EQ(done[8], PROBE_TIMED_OUT);
     close(fd);
 }
 
--- a/test/warmup_test.cc
+++ b/test/warmup_test.cc
@@ -23,16 +23,17 @@
 
     Fleet(int instances, int announced, double per_s)
     {
-        std::vector<uint64_t> warmer;
+        std::vector<uint64_t> warm_up_instance;
         for (int i = 0; i < announced; i++) {
-            warmer.push_back(1000 + (uint64_t)i);
+            warm_up_instance.push_back(1000 + (uint64_t)i);
         }
         for (int i = 0; i < instances; i++) {
             bed.emplace_back(new FlowBed());
             bed[i]->warm_up_per_s = per_s;
             bed[i]->routes(1, {{ROUTE, "svc", true}});
-            flowset_set_warmers(bed[i]->flows, 1000 + (uint64_t)i,
-                                warmer.data(), (uint32_t)warmer.size());
+            flowset_set_warm_up_instances(bed[i]->flows, 1000 + (uint64_t)i,
+                                          warm_up_instance.data(),
+                                          (uint32_t)warm_up_instance.size());
         }
     }
 
@@ -71,7 +72,7 @@
     void
     on_decision(const flow_decision_t &d, ms_t at)
     {
-        if (d.verb != FLOW_FORWARD) {
+        if (d.action != FLOW_FORWARD) {
             refused++;
             return;
         }
@@ -115,7 +116,7 @@
 
     for (uint64_t i = 0; i < 4; i++) {
         uint64_t self = 1000 + i;
-        flowset_set_warmers(f.bed[i]->flows, self, &self, 1);
+        flowset_set_warm_up_instances(f.bed[i]->flows, self, &self, 1);
     }
     f.announce(COLD, "dc-a", WARM_UP_MS);
     f.announce(WARM, "dc-a", 0);
@@ -130,12 +131,12 @@
     Fleet f(1, 1, 2);
 
     f.announce(COLD, "dc-a", WARM_UP_MS);
-    EXPECT_EQ(f.bed[0]->packet(FlowBed::syn(1, ROUTE)).verb, FLOW_FORWARD);
+    EXPECT_EQ(f.bed[0]->packet(FlowBed::syn(1, ROUTE)).action, FLOW_FORWARD);
     flow_decision_t d = f.bed[0]->packet(FlowBed::syn(2, ROUTE));
-    EXPECT_EQ(d.verb, FLOW_RESET);
+    EXPECT_EQ(d.action, FLOW_RESET);
     EXPECT_EQ(d.reason, FLOW_WARM_UP);
     f.bed[0]->now += WARM_UP_MS;
-    EXPECT_EQ(f.bed[0]->packet(FlowBed::syn(3, ROUTE)).verb, FLOW_FORWARD);
+    EXPECT_EQ(f.bed[0]->packet(FlowBed::syn(3, ROUTE)).action, FLOW_FORWARD);
 }
 
 /* Guards against: callers that are reset although some upstreams are warm,
