--- a/source/followers.c
+++ b/source/followers.c
@@ -6,16 +6,16 @@
 #define FOLLOWER_TIMEOUT_MS 2000
 
 void
-followers_init(followers_t *f, uint32_t most, uint64_t seed)
+followers_init(followers_t *f, uint32_t capacity, uint64_t seed)
 {
-    *f = (followers_t){.most = most, .rng = {.seed = seed}};
+    *f = (followers_t){.capacity = capacity, .rng = {.seed = seed}};
 }
 
 static void
 expire(followers_t *f, ms_t now)
 {
     for (uint32_t i = 0; i < f->n;) {
-        if (now >= f->follower[i].until) {
+        if (now >= f->follower[i].expires_at) {
             f->follower[i] = f->follower[--f->n];
         }
         else {
@@ -36,13 +36,13 @@
 }
 
 bool
-followers_take(followers_t *f, ms_t now, const addr_t *from, addr_t *instead)
+followers_admit(followers_t *f, ms_t now, const addr_t *from, addr_t *instead)
 {
     follower_t *follower;
 
     expire(f, now);
     follower = find_follower(f, from);
-    if (follower == NULL && f->n == f->most) {
+    if (follower == NULL && f->n == f->capacity) {
         *instead = f->follower[rng_below(&f->rng, f->n)].addr;
         return false;
     }
@@ -50,7 +50,7 @@
         follower = &f->follower[f->n++];
     }
     *follower =
-        (follower_t){.addr = *from, .until = now + FOLLOWER_TIMEOUT_MS};
+        (follower_t){.addr = *from, .expires_at = now + FOLLOWER_TIMEOUT_MS};
     return true;
 }
 
--- a/source/source.c
+++ b/source/source.c
@@ -93,7 +93,7 @@
         return;
     }
     if (strcmp(data_centre, s->data_centre) == 0 && count_local(s) == 0) {
-        s->relayed = false; /* the relay is in another data centre */
+        s->follows_relay = false; /* the relay is in another data centre */
     }
     if (p == NULL) { /* a full table: replace a random entry */
         p = s->n < SOURCE_PEERS_MAX
@@ -135,7 +135,7 @@
 
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
-        if (is_local(s, p) && now >= p->failed_until &&
+        if (is_local(s, p) && now >= p->backoff_until &&
             rank(&p->addr) < lowest) {
             lowest = rank(&p->addr);
             first = p;
@@ -152,7 +152,7 @@
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *q = &s->peer[i];
         if (strcmp(q->data_centre, p->data_centre) == 0 &&
-            now >= q->failed_until && rank(&q->addr) < rank(&p->addr)) {
+            now >= q->backoff_until && rank(&q->addr) < rank(&p->addr)) {
             return false;
         }
     }
@@ -163,7 +163,7 @@
 is_remote_leader(const sources_t *s, ms_t now, const source_peer_t *p)
 {
     return p->data_centre[0] != '\0' && !is_local(s, p) &&
-           now >= p->failed_until && is_leader(s, now, p);
+           now >= p->backoff_until && is_leader(s, now, p);
 }
 
 /* Finds the other data centres' leaders of lowest rank; returns the number. */
@@ -219,17 +219,18 @@
     source_peer_t *p = find(s, a);
 
     if (watcher != NULL && addr_eq(a, &watcher->addr)) {
-        s->watch_until = now + DIRECT_WATCH_MS;
+        s->direct_until = now + DIRECT_WATCH_MS;
     }
-    if (s->relayed && addr_eq(a, &s->relay.addr)) {
-        s->relayed = false;
+    if (s->follows_relay && addr_eq(a, &s->relay.addr)) {
+        s->follows_relay = false;
     }
     if (p != NULL) {
-        p->wait = p->wait == 0 ? FAILURE_BACKOFF_MIN_MS : 2 * p->wait;
-        if (p->wait > FAILURE_BACKOFF_MAX_MS) {
-            p->wait = FAILURE_BACKOFF_MAX_MS;
+        p->backoff_ms =
+            p->backoff_ms == 0 ? FAILURE_BACKOFF_MIN_MS : 2 * p->backoff_ms;
+        if (p->backoff_ms > FAILURE_BACKOFF_MAX_MS) {
+            p->backoff_ms = FAILURE_BACKOFF_MAX_MS;
         }
-        p->failed_until = now + p->wait;
+        p->backoff_until = now + p->backoff_ms;
     }
 }
 
@@ -238,42 +239,43 @@
 {
     source_peer_t *p = find(s, a);
 
-    s->sent_on = 0;
+    s->redirects = 0;
     if (p != NULL) {
-        p->wait = 0;
-        p->failed_until = 0;
+        p->backoff_ms = 0;
+        p->backoff_until = 0;
     }
 }
 
 void
-sources_checked(sources_t *s, ms_t now, const addr_t *a,
-                source_answer_t answer)
+sources_report_result(sources_t *s, ms_t now, const addr_t *a,
+                      source_result_t result)
 {
-    switch (answer) {
-    case SOURCE_TOLD:
+    switch (result) {
+    case SOURCE_ANSWERED:
         sources_answered(s, a);
         return;
     case SOURCE_STARTING:
         return; /* no backoff: it may be the first to have the data */
-    case SOURCE_SILENT:
+    case SOURCE_FAILED:
         sources_failed(s, now, a);
         return;
     }
 }
 
 const source_peer_t *
-sources_lead(const sources_t *s, ms_t now)
+sources_followed(const sources_t *s, ms_t now)
 {
     const source_peer_t *p = local_leader(s, now);
 
-    if (p == NULL && now >= s->watch_until) {
+    if (p == NULL && now >= s->direct_until) {
         p = followed_watcher(s, now);
     }
-    return p != NULL && s->relayed ? &s->relay : p;
+    return p != NULL && s->follows_relay ? &s->relay : p;
 }
 
 uint32_t
-sources_local(const sources_t *s, uint64_t *self, uint64_t *id, uint32_t max)
+sources_local_ranks(const sources_t *s, uint64_t *self, uint64_t *id,
+                    uint32_t max)
 {
     uint32_t n = 0;
 
@@ -290,7 +292,7 @@
 }
 
 bool
-sources_takes_place(const sources_t *s, ms_t now)
+sources_needs_place(const sources_t *s, ms_t now)
 {
     return !s->announced || local_leader(s, now) != NULL;
 }
@@ -298,9 +300,9 @@
 int
 sources_redirected(sources_t *s, const addr_t *to)
 {
-    s->relayed = ++s->sent_on <= HOPS_MAX && !addr_eq(to, &s->self);
-    if (!s->relayed) {
-        s->sent_on = 0;
+    s->follows_relay = ++s->redirects <= HOPS_MAX && !addr_eq(to, &s->self);
+    if (!s->follows_relay) {
+        s->redirects = 0;
         return -ELOOP;
     }
     s->relay = (source_peer_t){.addr = *to};
@@ -309,9 +311,9 @@
 }
 
 ms_t
-sources_check_ms(const sources_t *s)
+sources_check_period_ms(const sources_t *s)
 {
-    return s->relayed ? CHECK_PERIOD_RELAYED_MS : CHECK_PERIOD_MS;
+    return s->follows_relay ? CHECK_PERIOD_RELAYED_MS : CHECK_PERIOD_MS;
 }
 
 typedef enum { ANY, NEIGHBOUR, SEED, REMOTE_LEADER } source_kind_t;
@@ -344,7 +346,7 @@
 
     for (uint32_t i = 0; i < s->n; i++) {
         const source_peer_t *p = &s->peer[i];
-        if (p == except || now < p->failed_until ||
+        if (p == except || now < p->backoff_until ||
             !is_kind(s, now, p, kind)) {
             continue;
         }
@@ -371,7 +373,7 @@
 }
 
 const source_peer_t *
-sources_check(sources_t *s, ms_t now)
+sources_check_peer(sources_t *s, ms_t now)
 {
     const source_peer_t *leader = local_leader(s, now);
     source_kind_t first = s->announced ? REMOTE_LEADER : NEIGHBOUR;
@@ -391,7 +393,7 @@
 }
 
 const source_peer_t *
-sources_start(sources_t *s, ms_t now)
+sources_bootstrap_peer(sources_t *s, ms_t now)
 {
     const source_peer_t *local = random_peer(s, now, NEIGHBOUR, NULL);
     const source_peer_t *seed = random_peer(s, now, SEED, NULL);
@@ -419,7 +421,7 @@
 }
 
 ms_t
-sources_announce_wait_ms(sources_t *s, double link_mbps)
+sources_announce_delay_ms(sources_t *s, double link_mbps)
 {
     bool slow = link_mbps > 0 && link_mbps < FAST_LINK_MBPS;
 
--- a/source/source.h
+++ b/source/source.h
@@ -50,19 +50,20 @@
 typedef struct {
     addr_t addr;
     char data_centre[SOURCE_NAME_LEN]; /* "": a seed, data centre unknown */
-    ms_t failed_until;                 /* end of the backoff */
-    ms_t wait;                         /* length of the last backoff */
+    ms_t backoff_until;                /* end of the backoff */
+    ms_t backoff_ms;                   /* length of the last backoff */
 } source_peer_t;
 
 typedef struct {
     addr_t self;
     char data_centre[SOURCE_NAME_LEN];
-    bool announced; /* this instance is announced */
-    bool seed;      /* this instance is a seed in the settings */
-    bool relayed;   /* follows RELAY, not the leader */
+    bool announced;     /* this instance is announced */
+    bool seed;          /* this instance is a seed in the settings */
+    bool follows_relay; /* follows RELAY, not the leader */
     source_peer_t relay;
-    ms_t watch_until; /* follows the store until then: its watcher failed */
-    uint32_t sent_on; /* consecutive redirects without an answer */
+    ms_t direct_until;  /* follows the store directly until then: its watcher
+                         * failed */
+    uint32_t redirects; /* consecutive redirects without an answer */
     rng_t rng;
     uint32_t n;
     source_peer_t peer[SOURCE_PEERS_MAX];
@@ -80,29 +81,29 @@
 
 /* Result of a call to a peer. */
 typedef enum {
-    SOURCE_TOLD,
+    SOURCE_ANSWERED,
     SOURCE_STARTING, /* the peer has no data yet */
-    SOURCE_SILENT    /* no answer, an unreadable one, or stale data */
-} source_answer_t;
-void sources_checked(sources_t *s, ms_t now, const addr_t *a,
-                     source_answer_t answer);
+    SOURCE_FAILED    /* no answer, an unreadable one, or stale data */
+} source_result_t;
+void sources_report_result(sources_t *s, ms_t now, const addr_t *a,
+                           source_result_t result);
 
 /* The followed peer has no free place and redirects to TO.  -ELOOP: too many
  * redirects; follow the leader again, after a pause. */
 int sources_redirected(sources_t *s, const addr_t *to);
 /* Returns the peer to follow; NULL: follow the store directly. */
-const source_peer_t *sources_lead(const sources_t *s, ms_t now);
+const source_peer_t *sources_followed(const sources_t *s, ms_t now);
 /* True when this instance occupies a follower place at the peer that it
  * follows.  A leader that follows a watcher doesn't: leaders are few. */
-bool sources_takes_place(const sources_t *s, ms_t now);
+bool sources_needs_place(const sources_t *s, ms_t now);
 /* Returns a peer to check for anything newer, other than the followed one
  * where there is a choice; NULL: none. */
-const source_peer_t *sources_check(sources_t *s, ms_t now);
+const source_peer_t *sources_check_peer(sources_t *s, ms_t now);
 /* The period of these checks. */
-ms_t sources_check_ms(const sources_t *s);
+ms_t sources_check_period_ms(const sources_t *s);
 /* Returns the peer from which an instance without data requests everything, or
  * NULL. */
-const source_peer_t *sources_start(sources_t *s, ms_t now);
+const source_peer_t *sources_bootstrap_peer(sources_t *s, ms_t now);
 /* The delay before a starting instance reads a long list from the store, in
  * which a peer may deliver it: when all instances start together, the store's
  * link would carry the list to each of them.  0 for seeds and announced
@@ -113,12 +114,12 @@
 bool sources_should_announce(const sources_t *s);
 /* The delay before an instance whose link carries LINK_MBPS (0: not set) calls
  * sources_should_announce(). */
-ms_t sources_announce_wait_ms(sources_t *s, double link_mbps);
+ms_t sources_announce_delay_ms(sources_t *s, double link_mbps);
 
 /* Stores the ranks of this data centre's announced instances in ID, and this
  * instance's in *SELF, announced or not.  Returns the number stored in ID. */
-uint32_t sources_local(const sources_t *s, uint64_t *self, uint64_t *id,
-                       uint32_t max);
+uint32_t sources_local_ranks(const sources_t *s, uint64_t *self, uint64_t *id,
+                             uint32_t max);
 
 /* ---- Followers of this instance ---- */
 
@@ -126,22 +127,22 @@
 
 typedef struct {
     addr_t addr;
-    ms_t until; /* the place expires then unless it is renewed */
+    ms_t expires_at; /* unless the place is renewed */
 } follower_t;
 
 typedef struct {
-    uint32_t most; /* number of places */
+    uint32_t capacity; /* number of places */
     uint32_t n;
     rng_t rng;
     follower_t follower[FOLLOWERS_MAX];
 } followers_t;
 
-/* MOST must not exceed FOLLOWERS_MAX. */
-void followers_init(followers_t *f, uint32_t most, uint64_t seed);
+/* CAPACITY must not exceed FOLLOWERS_MAX. */
+void followers_init(followers_t *f, uint32_t capacity, uint64_t seed);
 /* Handles a call from FROM: true when it has or gets a place.  False: redirect
  * it to the follower *INSTEAD. */
-bool followers_take(followers_t *f, ms_t now, const addr_t *from,
-                    addr_t *instead);
+bool followers_admit(followers_t *f, ms_t now, const addr_t *from,
+                     addr_t *instead);
 /* The number of occupied places. */
 uint32_t followers_count(followers_t *f, ms_t now);
 
--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -26,7 +26,7 @@
     ms_t wait;
 
     pthread_mutex_lock(&a->t->follow_lock);
-    wait = sources_announce_wait_ms(&a->t->sources, a->t->settings.link_mbps);
+    wait = sources_announce_delay_ms(&a->t->sources, a->t->settings.link_mbps);
     pthread_mutex_unlock(&a->t->follow_lock);
     return wait;
 }
--- a/tagged/check.c
+++ b/tagged/check.c
@@ -22,8 +22,8 @@
     const source_peer_t *p;
 
     pthread_mutex_lock(&t->follow_lock);
-    p = starting ? sources_start(&t->sources, clock_now())
-                 : sources_check(&t->sources, clock_now());
+    p = starting ? sources_bootstrap_peer(&t->sources, clock_now())
+                 : sources_check_peer(&t->sources, clock_now());
     if (p != NULL) {
         *a = p->addr;
     }
@@ -33,13 +33,13 @@
 
 /* Classifies the result of a poll.  When all instances start together, a peer
  * that can't be reached may be up a moment later and is polled again. */
-static source_answer_t
+static source_result_t
 classify_answer(int rc, bool starting)
 {
     if (rc >= 0 || rc == -ENOBUFS) {
-        return SOURCE_TOLD;
+        return SOURCE_ANSWERED;
     }
-    return starting || rc == -ENODATA ? SOURCE_STARTING : SOURCE_SILENT;
+    return starting || rc == -ENODATA ? SOURCE_STARTING : SOURCE_FAILED;
 }
 
 static void
@@ -74,7 +74,7 @@
     ms_t ms;
 
     pthread_mutex_lock(&t->follow_lock);
-    ms = sources_check_ms(&t->sources);
+    ms = sources_check_period_ms(&t->sources);
     pthread_mutex_unlock(&t->follow_lock);
     return tagged_has_replicas(t) ? ms : START_POLL_MS;
 }
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -136,7 +136,7 @@
         return watch_back_off(&f->watch);
     }
     updates_record_answer(f->t, a,
-                          rc < 0 || old ? SOURCE_SILENT : SOURCE_TOLD);
+                          rc < 0 || old ? SOURCE_FAILED : SOURCE_ANSWERED);
     if (rc < 0 || old) {
         log_line(LVL_WARN, "follow",
                  "Peer failed. peer=%s error=\"%s\" "
@@ -162,10 +162,10 @@
         return false;
     }
     pthread_mutex_lock(&f->t->follow_lock);
-    p = sources_lead(&f->t->sources, clock_now());
+    p = sources_followed(&f->t->sources, clock_now());
     if (p != NULL) {
         *a = p->addr;
-        *place = sources_takes_place(&f->t->sources, clock_now());
+        *place = sources_needs_place(&f->t->sources, clock_now());
     }
     pthread_mutex_unlock(&f->t->follow_lock);
     return p != NULL;
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -405,8 +405,8 @@
     if (pthread_mutex_trylock(&p->t->follow_lock) != 0) {
         return; /* retried at the next call */
     }
-    n = sources_local(&p->t->sources, &self, warm_up_instance,
-                      WARM_UP_INSTANCES_MAX);
+    n = sources_local_ranks(&p->t->sources, &self, warm_up_instance,
+                            WARM_UP_INSTANCES_MAX);
     pthread_mutex_unlock(&p->t->follow_lock);
     flowset_set_warm_up_instances(p->flows, self, warm_up_instance, n);
 }
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -129,7 +129,7 @@
     bool taken;
 
     pthread_mutex_lock(&waiting.lock);
-    taken = followers_take(&waiting.followers, clock_now(), from, redirect);
+    taken = followers_admit(&waiting.followers, clock_now(), from, redirect);
     pthread_mutex_unlock(&waiting.lock);
     if (!taken) {
         counter_add(&t->count.followers_redirected, 1);
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -255,7 +255,7 @@
 /* Records the result of polling the peer at A, for the choice of the next
  * source. */
 void updates_record_answer(tagged_t *t, const addr_t *a,
-                           source_answer_t answer);
+                           source_result_t result);
 void peer_client_close(peer_client_t *c);
 
 /* ---- send.c: sends packets in batches, paced to the link ---- */
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -168,10 +168,10 @@
 }
 
 void
-updates_record_answer(tagged_t *t, const addr_t *a, source_answer_t answer)
+updates_record_answer(tagged_t *t, const addr_t *a, source_result_t result)
 {
     pthread_mutex_lock(&t->follow_lock);
-    sources_checked(&t->sources, clock_now(), a, answer);
+    sources_report_result(&t->sources, clock_now(), a, result);
     pthread_mutex_unlock(&t->follow_lock);
 }
 
--- a/test/source_test.cc
+++ b/test/source_test.cc
@@ -39,7 +39,7 @@
     const source_peer_t *
     lead()
     {
-        return sources_lead(&s, now);
+        return sources_followed(&s, now);
     }
 };
 
@@ -49,7 +49,7 @@
 
     sources_init(&s, &self, "dc-a", 3);
     EXPECT_EQ(lead(), nullptr);
-    EXPECT_EQ(sources_check(&s, now), nullptr);
+    EXPECT_EQ(sources_check_peer(&s, now), nullptr);
 }
 
 TEST_F(Sources, DataCentreFollowsOneLeader)
@@ -68,7 +68,7 @@
             addr_t a = at(1, m);
             sources_add(&other, &a, "dc-a");
         }
-        const source_peer_t *q = sources_lead(&other, now);
+        const source_peer_t *q = sources_followed(&other, now);
         if (addr_eq(&self, &leader)) {
             EXPECT_EQ(q, nullptr); /* the leader follows the store */
         }
@@ -127,18 +127,18 @@
 {
     addr_t self = at(1, 9);
     sources_add(&s, &self, "dc-a");
-    const source_peer_t *p = sources_check(&s, now);
+    const source_peer_t *p = sources_check_peer(&s, now);
     addr_t leader;
 
     ASSERT_NE(p, nullptr);
     EXPECT_STREQ(p->data_centre, "dc-b");
     leader = p->addr;
     for (int i = 0; i < 50; i++) {
-        EXPECT_TRUE(addr_eq(&sources_check(&s, now)->addr, &leader));
+        EXPECT_TRUE(addr_eq(&sources_check_peer(&s, now)->addr, &leader));
     }
     sources_failed(&s, now, &leader);
-    ASSERT_NE(sources_check(&s, now), nullptr);
-    EXPECT_FALSE(addr_eq(&sources_check(&s, now)->addr, &leader));
+    ASSERT_NE(sources_check_peer(&s, now), nullptr);
+    EXPECT_FALSE(addr_eq(&sources_check_peer(&s, now)->addr, &leader));
 }
 
 /* Traffic between data centres is paid for, and a leader has a tenth of a
@@ -151,7 +151,7 @@
     char text[ADDR_STRLEN];
 
     for (int i = 0; i < 100; i++) {
-        const source_peer_t *p = sources_check(&s, now);
+        const source_peer_t *p = sources_check_peer(&s, now);
         ASSERT_NE(p, nullptr);
         EXPECT_STREQ(p->data_centre, "dc-a");
         EXPECT_FALSE(addr_eq(&p->addr, &lead()->addr));
@@ -170,8 +170,8 @@
             sources_failed(&s, now, &a);
         }
     }
-    ASSERT_NE(sources_check(&s, now), nullptr);
-    EXPECT_STREQ(sources_check(&s, now)->data_centre, "dc-b");
+    ASSERT_NE(sources_check_peer(&s, now), nullptr);
+    EXPECT_STREQ(sources_check_peer(&s, now)->data_centre, "dc-b");
 }
 
 /* Its data centre is cut off from the other. */
@@ -182,7 +182,7 @@
         sources_failed(&s, now, &a);
     }
     for (int i = 0; i < 50; i++) {
-        const source_peer_t *p = sources_check(&s, now);
+        const source_peer_t *p = sources_check_peer(&s, now);
         ASSERT_NE(p, nullptr);
         EXPECT_STREQ(p->data_centre, "dc-a");
         EXPECT_FALSE(addr_eq(&p->addr, &lead()->addr));
@@ -219,8 +219,8 @@
     sources_init(&s, &self, "dc-a", 3);
     sources_add(&s, &seed, "");
     EXPECT_EQ(lead(), nullptr);
-    ASSERT_NE(sources_check(&s, now), nullptr);
-    EXPECT_TRUE(addr_eq(&sources_check(&s, now)->addr, &seed));
+    ASSERT_NE(sources_check_peer(&s, now), nullptr);
+    EXPECT_TRUE(addr_eq(&sources_check_peer(&s, now)->addr, &seed));
 }
 
 TEST_F(Sources, PeersAreBounded)
@@ -239,8 +239,8 @@
     ms_t fast_last = 0, slow_first = 1000000, slow_last = 0;
 
     for (int i = 0; i < 1000; i++) {
-        ms_t fast = sources_announce_wait_ms(&s, i % 2 == 0 ? 0 : 1000);
-        ms_t slow = sources_announce_wait_ms(&s, 20);
+        ms_t fast = sources_announce_delay_ms(&s, i % 2 == 0 ? 0 : 1000);
+        ms_t slow = sources_announce_delay_ms(&s, 20);
         fast_last = std::max(fast_last, fast);
         slow_first = std::min(slow_first, slow);
         slow_last = std::max(slow_last, slow);
@@ -248,7 +248,7 @@
     sources_t seed = s;
     addr_t self = at(1, 9);
     sources_add(&seed, &self, "");
-    EXPECT_LT(sources_announce_wait_ms(&seed, 20), slow_first);
+    EXPECT_LT(sources_announce_delay_ms(&seed, 20), slow_first);
     EXPECT_LE(fast_last, slow_first);
     EXPECT_GT(fast_last, 3000);
     EXPECT_GT(slow_last - slow_first, 3000);
@@ -290,7 +290,7 @@
 
     sources_add(&s, &seed, "");
     for (int i = 0; i < 100; i++) {
-        asked += addr_eq(&sources_start(&s, now)->addr, &seed);
+        asked += addr_eq(&sources_bootstrap_peer(&s, now)->addr, &seed);
     }
     EXPECT_GT(asked, 10);
     EXPECT_LT(asked, 90);
@@ -303,21 +303,21 @@
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n), b = at(2, n);
-        sources_checked(&s, now, &a, SOURCE_STARTING);
-        sources_checked(&s, now, &b, SOURCE_SILENT);
+        sources_report_result(&s, now, &a, SOURCE_STARTING);
+        sources_report_result(&s, now, &b, SOURCE_FAILED);
     }
     for (int i = 0; i < 50; i++) {
-        ASSERT_NE(sources_start(&s, now), nullptr);
-        EXPECT_STREQ(sources_start(&s, now)->data_centre, "dc-a");
+        ASSERT_NE(sources_bootstrap_peer(&s, now), nullptr);
+        EXPECT_STREQ(sources_bootstrap_peer(&s, now)->data_centre, "dc-a");
     }
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n);
-        sources_checked(&s, now, &a, SOURCE_SILENT);
+        sources_report_result(&s, now, &a, SOURCE_FAILED);
     }
-    EXPECT_EQ(sources_start(&s, now), nullptr);
+    EXPECT_EQ(sources_bootstrap_peer(&s, now), nullptr);
     addr_t a = at(1, 1);
-    sources_checked(&s, now, &a, SOURCE_TOLD);
-    EXPECT_NE(sources_start(&s, now), nullptr);
+    sources_report_result(&s, now, &a, SOURCE_ANSWERED);
+    EXPECT_NE(sources_bootstrap_peer(&s, now), nullptr);
 }
 
 /* Instances whose peers are all down must not read the list at the same time.
@@ -341,7 +341,7 @@
     char text[ADDR_STRLEN];
 
     for (int i = 0; i < 100; i++) {
-        const source_peer_t *p = sources_start(&s, now);
+        const source_peer_t *p = sources_bootstrap_peer(&s, now);
         ASSERT_NE(p, nullptr);
         EXPECT_STREQ(p->data_centre, "dc-a");
         asked.insert(addr_text(&p->addr, text));
@@ -351,8 +351,8 @@
         addr_t a = at(1, n);
         sources_failed(&s, now, &a);
     }
-    ASSERT_NE(sources_start(&s, now), nullptr);
-    EXPECT_STREQ(sources_start(&s, now)->data_centre, "dc-b");
+    ASSERT_NE(sources_bootstrap_peer(&s, now), nullptr);
+    EXPECT_STREQ(sources_bootstrap_peer(&s, now)->data_centre, "dc-b");
 }
 
 /* ---- Watchers ---- */
@@ -399,7 +399,7 @@
     int
     lead(int i)
     {
-        const source_peer_t *p = sources_lead(&s[(size_t)i], now);
+        const source_peer_t *p = sources_followed(&s[(size_t)i], now);
         return p != nullptr ? number(p->addr) : -1;
     }
 
@@ -441,11 +441,11 @@
 TEST_F(Watchers, LeaderChecksWithTheOtherWatcher)
 {
     for (int i : other_leaders()) {
-        const source_peer_t *p = sources_check(&s[(size_t)i], now);
+        const source_peer_t *p = sources_check_peer(&s[(size_t)i], now);
         ASSERT_NE(p, nullptr);
         EXPECT_NE(number(p->addr), lead(i));
         EXPECT_EQ(lead(number(p->addr)), -1);
-        EXPECT_FALSE(sources_takes_place(&s[(size_t)i], now));
+        EXPECT_FALSE(sources_needs_place(&s[(size_t)i], now));
     }
 }
 
@@ -456,7 +456,7 @@
     int i = other_leaders()[0];
     addr_t watcher = at(lead(i));
 
-    sources_checked(&s[(size_t)i], now, &watcher, SOURCE_SILENT);
+    sources_report_result(&s[(size_t)i], now, &watcher, SOURCE_FAILED);
     EXPECT_EQ(lead(i), -1);
     now += 5000;
     EXPECT_EQ(lead(i), -1);
@@ -478,15 +478,15 @@
         addr_t a = at(k);
         sources_add(&mine, &a, centre(k).c_str());
     }
-    const source_peer_t *p = sources_lead(&mine, now);
+    const source_peer_t *p = sources_followed(&mine, now);
     ASSERT_NE(p, nullptr);
     EXPECT_EQ(lead(number(p->addr)), -1);
-    EXPECT_TRUE(sources_takes_place(&mine, now));
+    EXPECT_TRUE(sources_needs_place(&mine, now));
     EXPECT_EQ(sources_redirected(&mine, &relay), 0);
-    EXPECT_TRUE(addr_eq(&sources_lead(&mine, now)->addr, &relay));
+    EXPECT_TRUE(addr_eq(&sources_followed(&mine, now)->addr, &relay));
     /* An instance of its own data centre is announced. */
     sources_add(&mine, &first, "dc-new");
-    EXPECT_TRUE(addr_eq(&sources_lead(&mine, now)->addr, &first));
+    EXPECT_TRUE(addr_eq(&sources_followed(&mine, now)->addr, &first));
 }
 
 /* Guards against a cycle of leaders that follow each other, none of which gets
@@ -498,8 +498,9 @@
     for (int round = 0; round < 2000; round++) {
         int i = (int)rng_below(&rng, CENTRES * ANNOUNCED);
         addr_t a = at((int)rng_below(&rng, CENTRES * ANNOUNCED));
-        sources_checked(&s[(size_t)i], now, &a,
-                        rng_below(&rng, 2) == 0 ? SOURCE_SILENT : SOURCE_TOLD);
+        sources_report_result(&s[(size_t)i], now, &a,
+                              rng_below(&rng, 2) == 0 ? SOURCE_FAILED
+                                                      : SOURCE_ANSWERED);
         now += 100;
         for (int k = 0; k < CENTRES * ANNOUNCED; k++) {
             int to = k, steps = 0;
@@ -523,9 +524,9 @@
     EXPECT_EQ(sources_redirected(&s, &relay), 0);
     ASSERT_NE(lead(), nullptr);
     EXPECT_TRUE(addr_eq(&lead()->addr, &relay));
-    sources_checked(&s, now, &relay, SOURCE_TOLD);
+    sources_report_result(&s, now, &relay, SOURCE_ANSWERED);
     EXPECT_TRUE(addr_eq(&lead()->addr, &relay));
-    sources_checked(&s, now, &relay, SOURCE_SILENT);
+    sources_report_result(&s, now, &relay, SOURCE_FAILED);
     EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
 }
 
@@ -535,12 +536,12 @@
 TEST_F(Sources, ChecksAreRarerBelowARelay)
 {
     addr_t relay = at(1, 77);
-    ms_t leaders = sources_check_ms(&s);
+    ms_t leaders = sources_check_period_ms(&s);
 
     sources_redirected(&s, &relay);
-    EXPECT_GE(sources_check_ms(&s), 5 * leaders);
-    sources_checked(&s, now, &relay, SOURCE_SILENT);
-    EXPECT_EQ(sources_check_ms(&s), leaders);
+    EXPECT_GE(sources_check_period_ms(&s), 5 * leaders);
+    sources_report_result(&s, now, &relay, SOURCE_FAILED);
+    EXPECT_EQ(sources_check_period_ms(&s), leaders);
 }
 
 /* Guards against endless redirects while the leader changes. */
@@ -560,7 +561,7 @@
     for (times = 0; times < 100; times++) {
         addr_t to = at(1, 50 + times % 2);
         EXPECT_EQ(sources_redirected(&s, &to), 0);
-        sources_checked(&s, now, &to, SOURCE_TOLD);
+        sources_report_result(&s, now, &to, SOURCE_ANSWERED);
     }
 }
 
@@ -626,7 +627,7 @@
         addr_t from = at(who), to = at(0);
         for (int level = 1; level < 20; level++) {
             addr_t next = {};
-            if (followers_take(&of[(size_t)number(to)], now, &from, &next)) {
+            if (followers_admit(&of[(size_t)number(to)], now, &from, &next)) {
                 return level;
             }
             to = next;
@@ -670,8 +671,8 @@
     for (int i = 2; i <= 32; i++) {
         descend(i);
     }
-    EXPECT_FALSE(followers_take(&of[0], now, &late, &instead));
+    EXPECT_FALSE(followers_admit(&of[0], now, &late, &instead));
     now += 600;
-    EXPECT_TRUE(followers_take(&of[0], now, &late, &instead));
+    EXPECT_TRUE(followers_admit(&of[0], now, &late, &instead));
     EXPECT_EQ(followers_count(&of[0], now), 32u);
 }
