--- a/test/flow_load_test.cc
+++ b/test/flow_load_test.cc
@@ -356,7 +356,7 @@
 
 /* At low load no flow leaves the data centre: flows between data centres are
  * lost when the data centres are partitioned. */
-TEST(Placing, InCalmFlowsStayInTheirDataCentre)
+TEST(Placing, AtLowLoadFlowsStayInTheirDataCentre)
 {
     Load l(2);
 
@@ -412,7 +412,7 @@
 
 /* An upstream that rejects at once looks idle and fast.  It must not attract
  * the flows that the others would have served. */
-TEST(Placing, FastRefusalsDrawNoFlows)
+TEST(Placing, FastRejectionsAttractNoFlows)
 {
     Load l(2);
 
@@ -527,7 +527,7 @@
 
 /* The same for instances that start during overload, as after a power failure:
  * none has ever seen the response time with free slots. */
-TEST(Overload, InstancesThatStartIntoItKeepAnswersInTime)
+TEST(Overload, InstancesStartedDuringOverloadKeepAnswersInTime)
 {
     for (uint64_t seed : SEEDS) {
         Overload l(seed);
@@ -644,14 +644,14 @@
 /* Three of ten upstreams have too many connections and reset opening packets:
  * their callers leave, unseen by instances.  These openings must not count as
  * requests in flight, or they keep others from the seven with free slots. */
-TEST(Overload, OpeningsThatAreResetTakeNoPlace)
+TEST(Overload, ResetOpeningsDoNotCountAsInFlight)
 {
     expect_healthy_used(&Upstream::resets_openings);
 }
 
 /* The same with requests instead of openings: three of ten upstreams reject
  * requests by short responses that their callers never acknowledge. */
-TEST(Overload, RefusalsThatNobodySeesTakeNoPlace)
+TEST(Overload, UnseenRejectionsDoNotCountAsInFlight)
 {
     expect_healthy_used(&Upstream::rejects_unseen);
 }
--- a/test/flow_test.cc
+++ b/test/flow_test.cc
@@ -109,7 +109,7 @@
 
 /* Guards against: an older version of the routes that arrives late from a peer
  * or the store, and replaces a newer one that callers have already seen. */
-TEST_F(Flow, VersionsNeverGoBack)
+TEST_F(Flow, OlderRouteVersionsAreRejected)
 {
     EXPECT_EQ(bed.routes(5, {{FEED, "svc", true}}), 0);
     EXPECT_EQ(bed.routes(4, {{FEED, "svc", true}, {COMMAND, "svc", false}}),
@@ -122,7 +122,7 @@
 /* Ids are longer than tags.  Of two upstreams with the same tag only the first
  * gets flows: packets of the second's flows would reach the first and be
  * reset. */
-TEST_F(Flow, AnUpstreamWithATakenTagGetsNoFlow)
+TEST_F(Flow, AnUpstreamWithADuplicateTagGetsNoFlow)
 {
     flow_upstream_t duplicate = FlowBed::upstream(0x1200000011, "svc", "dc-a");
 
@@ -139,7 +139,7 @@
 /* A short response is acknowledged only with the caller's next request, after
  * a pause.  Counted as response time, the pause would make the upstream look
  * slow and the service full. */
-TEST_F(Flow, ThePauseBeforeTheNextRequestIsNoPartOfAnAnswer)
+TEST_F(Flow, ResponseTimeExcludesThePauseBeforeTheNextRequest)
 {
     uint32_t tag = bed.open(1, FEED);
 
@@ -172,7 +172,7 @@
 /* All announcements lapse together while the store is unavailable, and are
  * back within two seconds of its return.  New flows need an upstream
  * meanwhile; an upstream that is still missing later has left. */
-TEST_F(Flow, LapsedAnnouncementsAreUsedForAMoment)
+TEST_F(Flow, LapsedAnnouncementsAreUsedDuringTheGracePeriod)
 {
     for (uint64_t id : {0x11, 0x12, 0x21}) {
         flowset_remove_upstream(bed.flows, bed.now, id);
@@ -191,7 +191,7 @@
 
 /* If one of several announcements is gone, its upstream has probably died: the
  * others are preferred. */
-TEST_F(Flow, AnUpstreamWithoutAnnouncementComesLast)
+TEST_F(Flow, AnUnannouncedUpstreamIsSelectedLast)
 {
     flowset_remove_upstream(bed.flows, bed.now, 0x11);
     bed.probed(0x11, PROBE_ANSWERED);
@@ -223,7 +223,7 @@
 /* A draining server closes its TCP port shortly before its last flows end, so
  * one refused probe is no proof: a reset would cut flows that are still
  * served, by a planned change.  A second, later refusal is proof. */
-TEST_F(Flow, ALeavingUpstreamsFlowsAreLeftUntilTheSecondRefusal)
+TEST_F(Flow, FlowsOfADrainingUpstreamAreResetAfterTheSecondRefusal)
 {
     uint32_t caller = open_at(0x11, 1);
     flow_upstream_t u = FlowBed::upstream(0x11, "svc", "dc-a");
@@ -245,7 +245,7 @@
  * through a saturated link: no instance sees a response for seconds, and each
  * retransmission starts a probe, which is refused.  The server is announced
  * and serves to the end; its flow must not be cut by a planned change. */
-TEST_F(Flow, ALeavingUpstreamThatIsAnnouncedKeepsItsFlows)
+TEST_F(Flow, AnAnnouncedDrainingUpstreamKeepsItsFlows)
 {
     uint32_t caller = open_at(0x11, 1, COMMAND);
     flow_upstream_t u = FlowBed::upstream(0x11, "svc", "dc-a");
@@ -294,7 +294,7 @@
 
 /* The same reset occurs when a process ends with a connection in its accept
  * queue: the next probe is refused, and the callers are reset. */
-TEST_F(Flow, AnUpstreamThatEndsAfterItResetAProbeIsFoundByTheNext)
+TEST_F(Flow, AnUpstreamThatEndsAfterResettingAProbeIsDetectedByTheNext)
 {
     uint32_t caller = open_at(0x11, 1);
 
@@ -311,7 +311,7 @@
 /* An address is assigned to a server of another service only after its
  * previous upstream has ended.  Packets of the old flows must not be forwarded
  * to the new server, and their callers needn't wait. */
-TEST_F(Flow, AnAddressThatIsUsedAgainEndsItsFormerFlows)
+TEST_F(Flow, AReassignedAddressEndsThePreviousFlows)
 {
     uint32_t caller = open_at(0x11, 1);
     flow_upstream_t next = FlowBed::upstream(0x31, "archive", "dc-a");
@@ -329,7 +329,7 @@
 /* The previous upstream's announcement outlasts it, and a list contains both
  * in order of id.  The one announced later is current: its flows must not be
  * reset, in either order. */
-TEST(FlowAddress, OfTwoAtOneAddressTheLaterAnnouncedHoldsIt)
+TEST(FlowAddress, TheLaterAnnouncedUpstreamOwnsTheAddress)
 {
     for (bool previous_first : {true, false}) {
         FlowBed bed;
@@ -351,7 +351,7 @@
 
 /* A server restarts under its id and holds no former flows.  It resets these
  * itself; the counts here start from zero. */
-TEST_F(Flow, AnUpstreamBornAgainHasNoFlows)
+TEST_F(Flow, ARestartedUpstreamHasNoFlows)
 {
     flow_upstream_t u = FlowBed::upstream(0x11, "svc", "dc-a");
 
@@ -367,7 +367,7 @@
 
 /* A caller also retransmits after packet loss.  If the probe is answered,
  * nothing is reset and the upstream continues to get flows. */
-TEST_F(Flow, ADoubtThatAProbeRefutesChangesNothing)
+TEST_F(Flow, AnAnsweredProbeClearsSuspicion)
 {
     uint32_t caller = open_at(0x11, 1);
 
@@ -385,7 +385,7 @@
 
 /* Routers may reorder packets.  A late one repeats data seen before, but too
  * early for a retransmission. */
-TEST_F(Flow, OvertakenPacketsRaiseNoDoubt)
+TEST_F(Flow, ReorderedPacketsRaiseNoSuspicion)
 {
     uint32_t caller = open_at(0x11, 1);
 
@@ -398,7 +398,7 @@
 
 /* Other callers of the upstream have got responses since: a single
  * retransmission is packet loss, and no probe is sent. */
-TEST_F(Flow, OthersThatGoOnRefuteADoubt)
+TEST_F(Flow, ProgressOfOtherFlowsPreventsSuspicion)
 {
     int a = (int)open_at(0x11, 1), b = (int)open_at(0x11, 100);
 
@@ -452,7 +452,7 @@
  * the first instance forwards the old packet to an upstream that has died
  * meanwhile, and detects this at once: the record is recent but the packet is
  * not, and the flow must not be reset. */
-TEST_F(Flow, AnOpeningThatWaitedToBeReadIsNotReset)
+TEST_F(Flow, AnOpeningDelayedInTheSocketIsNotReset)
 {
     flow_packet_t p = FlowBed::syn(1, COMMAND);
     uint64_t up;
@@ -495,7 +495,7 @@
 /* A resumed instance has no upstream or route for an old opening packet or a
  * copy: another instance may have opened the flow, so it is not reset.  An
  * opening packet that is neither is reset. */
-TEST_F(Flow, ALateOpeningThatNobodyTakesIsDropped)
+TEST_F(Flow, ALateOpeningWithoutUpstreamIsDropped)
 {
     static const char NO_ROUTE[] = "198.18.0.9:9";
     flow_packet_t late = FlowBed::syn(1, NO_ROUTE);
@@ -518,7 +518,7 @@
 /* Packets that waited to be read date from their arrival: the caller's flow
  * made progress then, but the upstream may have died since.  It stays suspect.
  */
-TEST_F(Flow, AnOldSignOfLifeSettlesNoDoubt)
+TEST_F(Flow, AnOldSignOfLifeDoesNotClearSuspicion)
 {
     uint32_t caller = open_at(0x11, 1);
     flow_packet_t p = FlowBed::data((int)caller, FEED, 0x11, 1101, 0, 6000);
@@ -537,7 +537,7 @@
 
 /* Until the caller may have sent a copy, only this instance can have forwarded
  * the opening packet: the caller is reset at once. */
-TEST_F(Flow, AYoungOpeningAtADeadUpstreamIsReset)
+TEST_F(Flow, ARecentOpeningAtADeadUpstreamIsReset)
 {
     uint64_t up = bed.packet(FlowBed::syn(1, COMMAND)).upstream;
 
@@ -552,7 +552,7 @@
  * response time starts a probe before its caller retransmits.  If other
  * callers get responses meanwhile, the long wait means a long request, and no
  * probe is sent. */
-TEST_F(Flow, ALongWaitRaisesADoubtBeforeTheCallerRepeatsItself)
+TEST_F(Flow, ALongWaitRaisesSuspicionBeforeTheRetransmission)
 {
     int a = (int)open_at(0x11, 1), b = (int)open_at(0x11, 100);
 
@@ -596,7 +596,7 @@
 /* A data centre is partitioned and probes time out.  Its servers are alive and
  * may be processing requests, so only callers with a pending request that may
  * be repeated are reset, to retry elsewhere. */
-TEST_F(Flow, AnUnreachableUpstreamIsLeftByRepeatableRequestsOnly)
+TEST_F(Flow, OnlyIdempotentRequestsOfAnUnreachableUpstreamAreReset)
 {
     int a = (int)open_at(0x11, 1);
 
@@ -634,7 +634,7 @@
 
 /* The link of a small instance is saturated: no probe is answered in time.  No
  * upstream is at fault, and flows that are merely late must not be reset. */
-TEST_F(Flow, WhenNothingAnswersItIsTheInstanceItself)
+TEST_F(Flow, ASaturatedInstanceMarksNoUpstreamUnreachable)
 {
     int a = (int)open_at(0x11, 1);
 
@@ -659,12 +659,12 @@
 
 /* A nearly saturated link drops some packets and passes others.  A single
  * answered control probe is then no proof; two are required. */
-TEST_F(Flow, OneAnswerBesideASilentProbeProvesNothing)
+TEST_F(Flow, OnlyTheFirstControlProbeAnsweredIsNoProof)
 {
     probe_with_controls(PROBE_ANSWERED, PROBE_TIMED_OUT);
 }
 
-TEST_F(Flow, NorDoesTheSecondAnswerAlone)
+TEST_F(Flow, OnlyTheSecondControlProbeAnsweredIsNoProof)
 {
     probe_with_controls(PROBE_TIMED_OUT, PROBE_ANSWERED);
 }
@@ -673,7 +673,7 @@
  * of its probes time out, whatever the upstream.  Among thousands, three in a
  * row time out by chance repeatedly, each with an answered control probe.  No
  * upstream may become unreachable by that. */
-TEST_F(Flow, ChanceOnAFullLinkFindsNoUpstreamUnreachable)
+TEST_F(Flow, RandomProbeLossMarksNoUpstreamUnreachable)
 {
     rng_t rng = {11, 0};
     const int n = 20;
@@ -734,7 +734,7 @@
 
 /* A server wrote to the store just before it died, so its announcement arrives
  * after the refused probe.  It gets no flows until a probe is answered. */
-TEST_F(Flow, AnAnnouncementAloneDoesNotRaiseTheDead)
+TEST_F(Flow, AnAnnouncementAloneDoesNotReviveADeadUpstream)
 {
     int a = (int)open_at(0x11, 1);
 
@@ -773,7 +773,7 @@
 
 /* An opening packet unanswered for 80 ms makes its upstream suspect, long
  * before the caller sends a copy; the copy goes to another upstream. */
-TEST_F(Flow, AnUnansweredOpeningPacketMovesOn)
+TEST_F(Flow, ACopyOfAnUnansweredOpeningMovesToAnotherUpstream)
 {
     flow_decision_t first = bed.packet(FlowBed::syn(1, FEED)), second;
 
@@ -817,7 +817,7 @@
 
 /* A probe that could not be sent (no free descriptor) proves nothing and is
  * repeated later. */
-TEST_F(Flow, AProbeThatWasNotMadeIsTriedAgain)
+TEST_F(Flow, AProbeThatWasNotSentIsRetried)
 {
     int a = (int)open_at(0x11, 1);
 
@@ -856,7 +856,7 @@
     EXPECT_EQ(bed.packet(FlowBed::syn(2, FEED)).open, 0u);
 }
 
-TEST(FlowBounds, AnUpstreamThatLeftIsForgottenAtLast)
+TEST(FlowBounds, AnUpstreamThatLeftIsExpired)
 {
     FlowBed bed;
 
@@ -942,7 +942,7 @@
 
 /* After an evacuation its upstreams must not stay idle for ever; those that
  * have left or are draining must stay excluded. */
-TEST_F(Flow, TheEndOfAnEvacuationBringsBackThoseThatMayBeChosen)
+TEST_F(Flow, TheEndOfAnEvacuationRestoresEligibleUpstreams)
 {
     std::set<uint64_t> chosen;
 
@@ -979,7 +979,7 @@
 
 /* Guards against: a flood of flows at upstreams that became cold during the
  * evacuation, if its end is received before their announcements. */
-TEST_F(Flow, AnEvacuationEndsOnlyWhenTheUpstreamsAreKnownAsOfThen)
+TEST_F(Flow, AnEvacuationEndsOnceAnnouncementsAreSynced)
 {
     flowset_evacuate(bed.flows, "dc-a", true, 50);
     flowset_upstreams_synced(bed.flows, 55);
--- a/test/news_test.cc
+++ b/test/news_test.cc
@@ -78,7 +78,7 @@
  * while updates keep arriving.  With its inbox full, an upstream's
  * announcement must not be marked as applied: no source would send it again,
  * and callers would be sent to upstreams that have left. */
-TEST_F(News, WhatTheInboxCantTakeIsTakenLater)
+TEST_F(News, FullInboxDefersUpdates)
 {
     uint64_t id = 1, revision;
 
@@ -98,7 +98,7 @@
 
 /* Most answers only confirm that nothing has changed, and need no room in the
  * inbox. */
-TEST_F(News, AConfirmationNeedsNoRoom)
+TEST_F(News, ConfirmationIsAcceptedWithFullInbox)
 {
     uint64_t id = 1;
 
--- a/test/pacer_test.cc
+++ b/test/pacer_test.cc
@@ -117,7 +117,7 @@
     EXPECT_EQ(pacer_queued(p.p), 0u);
 }
 
-TEST(Pacer, DueIsWhenAPacketMayLeave)
+TEST(Pacer, DueIsTheTimeOfTheNextPacket)
 {
     Pacer p(RATE);
 
@@ -422,7 +422,7 @@
 
 /* Guards against: more concurrent uploads than can be acknowledged within a
  * retransmission timeout, whose retransmissions fill the link. */
-TEST(FullLink, CopiesOfWhatWaitsAreNotForwarded)
+TEST(FullLink, RetransmissionsOfQueuedPacketsAreNotForwarded)
 {
     const int N = 45, PACKETS = 5; /* one round of all flows takes 228 ms */
     LinkBed paced(RATE);
--- a/test/probes_test.cc
+++ b/test/probes_test.cc
@@ -70,7 +70,7 @@
 } // namespace
 
 /* The kernel answers; the process need not accept. */
-TEST_F(Probes, AListenerAnswersThoughItsProcessIsBusy)
+TEST_F(Probes, ListenerAnswersWithoutAccept)
 {
     addr_t a;
     int fd = listener(&a, 16);
@@ -81,7 +81,7 @@
     close(fd);
 }
 
-TEST_F(Probes, AClosedPortRefuses)
+TEST_F(Probes, ClosedPortIsRefused)
 {
     addr_t a;
     int fd = listener(&a, 16);
@@ -95,7 +95,7 @@
 /* A server with too many connections accepts one more and resets it.  The
  * process is alive, and so are its flows: if the reset counted as a refusal,
  * all of them would be ended. */
-TEST_F(Probes, AnAcceptedConnectionThatIsResetIsNoRefusal)
+TEST_F(Probes, ResetAfterAcceptIsNotRefusal)
 {
     addr_t a;
     int fd = listener(&a, 16), taken;
@@ -113,7 +113,7 @@
 
 /* A listener with a full queue drops further connections, as an unreachable
  * host would. */
-TEST_F(Probes, AFullQueueIsSilent)
+TEST_F(Probes, FullBacklogTimesOut)
 {
     addr_t a;
     int fd = listener(&a, 0);
@@ -129,7 +129,7 @@
 /* The caller was busy for longer than the probe's timeout, as a small instance
  * that reads a large configuration.  An answer that arrived meanwhile counts.
  */
-TEST_F(Probes, ALateLookFindsTheAnswer)
+TEST_F(Probes, AnswerCountsWhenCheckedAfterDeadline)
 {
     addr_t a;
     int fd = listener(&a, 16);
@@ -141,7 +141,7 @@
     close(fd);
 }
 
-TEST_F(Probes, MoreThanThereIsRoomForAreRefused)
+TEST_F(Probes, StartFailsWithoutFreeSlot)
 {
     addr_t a;
     int fd = listener(&a, 128);
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_F(Replica, ChangesArePassedOnOnce)
+TEST_F(Replica, ReportsEachChangeOnce)
 {
     EXPECT_EQ(merge(Items(10, true).add("b", "1", 5).add("a", "1", 10)),
               "b a ");
@@ -80,7 +80,7 @@
 
 /* A peer may lag behind the store.  Its older items must not overwrite newer
  * ones. */
-TEST_F(Replica, OlderNewsChangeNothing)
+TEST_F(Replica, IgnoresOlderItems)
 {
     merge(Items(20, true).add("a", "new", 20));
     EXPECT_EQ(merge(Items(15).add("a", "old", 15)), "");
@@ -90,7 +90,7 @@
 
 /* The store lost its history and the removal was never sent.  The list, which
  * lacks the key, implies the removal. */
-TEST_F(Replica, AWholeListRemovesWhatItLacks)
+TEST_F(Replica, WholeListRemovesMissingItems)
 {
     merge(Items(10, true).add("a", "1", 5).add("b", "1", 6));
     EXPECT_EQ(merge(Items(30, true).add("a", "1", 5)), "-b ");
@@ -99,14 +99,14 @@
 
 /* A list may be older than a change received from a peer meanwhile: a key
  * missing from the list may have been created since. */
-TEST_F(Replica, AnOldListRemovesNothing)
+TEST_F(Replica, OlderListRemovesNothing)
 {
     merge(Items(10, true).add("a", "1", 5));
     merge(Items(40).add("b", "1", 40));
     EXPECT_EQ(merge(Items(30, true).add("a", "1", 5)), "");
 }
 
-TEST_F(Replica, APeerThatIsBehindGetsOnlyWhatChanged)
+TEST_F(Replica, PeerBehindReceivesOnlyChanges)
 {
     merge(Items(10, true).add("a", "1", 5).add("b", "1", 6));
     merge(Items(11).add("c", "1", 11));
@@ -121,7 +121,7 @@
     store_items_free(&out);
 }
 
-TEST_F(Replica, APeerThatKnowsNothingGetsAllThereIs)
+TEST_F(Replica, PeerWithoutDataReceivesWholeReplica)
 {
     merge(Items(10, true).add("a", "1", 5).add("b", "1", 6));
     merge(Items(12).add("a", nullptr, 12));
@@ -134,7 +134,7 @@
 
 /* A bounded number of removals is kept.  A peer that misses older ones
  * receives the whole replica, or it would keep removed items. */
-TEST_F(Replica, ForgottenRemovalsMakeTheAnswerWhole)
+TEST_F(Replica, PrunedRemovalsForceWholeAnswer)
 {
     merge(Items(10, true));
     for (uint64_t i = 1; i <= 1000; i++) {
@@ -152,7 +152,7 @@
     store_items_free(&out);
 }
 
-TEST_F(Replica, ItsAgeIsThatOfTheSource)
+TEST_F(Replica, AgeIncludesSourceAge)
 {
     Items items(10, true);
 
@@ -169,7 +169,7 @@
  * peer that lags behind.  The peer's answer arrives last and contains an
  * upstream that has been removed since.  If merged, the upstream would be used
  * for ever, because no source sends its removal again. */
-TEST_F(Replica, APeerThatIsBehindBringsNothingRemovedBack)
+TEST_F(Replica, PeerBehindRestoresNoRemovedItem)
 {
     EXPECT_EQ(merge(Items(20, true).add("a", "1", 5)), "a ");
     EXPECT_EQ(merge(Items(12, true).add("a", "1", 5).add("gone", "1", 7)), "");
@@ -178,7 +178,7 @@
 }
 
 /* A cached answer is sent to other peers a little later. */
-TEST_F(Replica, AnAnswerThatIsGivenLaterIsAsOldByThen)
+TEST_F(Replica, AnswerAgeAllowsForLaterDelivery)
 {
     char *t;
     store_items_t out;
@@ -191,7 +191,7 @@
     store_items_free(&out);
 }
 
-TEST_F(Replica, WhoLacksForgottenRemovalsIsBehind)
+TEST_F(Replica, PeerBeforePrunedRemovalsIsBehind)
 {
     merge(Items(10, true).add("a", "1", 5));
     EXPECT_TRUE(replica_is_behind(r, 0));
@@ -201,7 +201,7 @@
 
 /* A source whose watch is dead counts itself as current.  Its older revision
  * shows that it is not. */
-TEST_F(Replica, ASourceThatKnowsLessDoesNotConfirm)
+TEST_F(Replica, OlderSourceDoesNotConfirm)
 {
     merge(Items(20, true));
     now = 9000;
@@ -213,7 +213,7 @@
 
 /* In whatever order and from whichever source updates arrive, the newest
  * revision of each key wins, and the reported changes add up to that state. */
-TEST_F(Replica, AnyOrderEndsInTheSameState)
+TEST_F(Replica, ConvergesInAnyOrder)
 {
     rng_t rng = {11, 0};
 
@@ -309,7 +309,7 @@
 
 /* Guards against: a large configuration sent in full with each version, which
  * fills a slow link for seconds. */
-TEST_F(Replica, ALongValueIsSentAsADifference)
+TEST_F(Replica, SendsLongValueAsDelta)
 {
     std::map<std::string, std::string> got;
 
@@ -328,7 +328,7 @@
 
 /* Guards against: a delta to a version that the peer does not have, because
  * this instance has never seen the peer's version. */
-TEST_F(Replica, ADifferenceThatDoesNotFitTakesNothing)
+TEST_F(Replica, RejectsDeltaToUnknownBase)
 {
     std::map<std::string, std::string> got;
     Peer peer(2, 12);
@@ -344,7 +344,7 @@
 
 /* Dozens of peers send the same request at the same moment.  One answer serves
  * all of them as long as it is correct for each. */
-TEST(Answers, OneServesThoseThatAskTheSameAtOnce)
+TEST(Answers, CachedChangesServeEqualRequests)
 {
     const answer_query_t kept = {
         .packed = true, .whole = false, .after = 7, .revision = 9};
@@ -373,7 +373,7 @@
 /* A peer without data receives the whole replica as of up to a second ago, and
  * then requests the changes since.  A peer that has that revision already
  * would gain nothing from it. */
-TEST(Answers, TheWholeServesForLonger)
+TEST(Answers, CachedWholeReplicaLivesLonger)
 {
     const answer_query_t kept = {
         .packed = true, .whole = true, .after = 0, .revision = 9};
--- a/test/warmup_test.cc
+++ b/test/warmup_test.cc
@@ -110,7 +110,7 @@
 
 /* Guards against: a share that other instances take over during a partition,
  * and lists of instances that differ for a moment. */
-TEST(WarmUp, TheSumHoldsWhenInstancesKnowOnlyThemselves)
+TEST(WarmUp, TheBoundHoldsDuringAPartition)
 {
     Fleet f(88, 4, 6);
 
@@ -126,7 +126,7 @@
 
 /* Guards against: callers that wait although all eligible upstreams have
  * reached their share of new flows. */
-TEST(WarmUp, BeyondTheShareCallersAreResetAtOnceWhenNoOtherIsThere)
+TEST(WarmUp, CallersAreResetAtOnceWhenTheShareIsUsedUp)
 {
     Fleet f(1, 1, 2);
 
@@ -141,7 +141,7 @@
 
 /* Guards against: callers that are reset although some upstreams are warm,
  * because a random sample of a large service contains none of them. */
-TEST(WarmUp, TheFewThatAreWarmAreFoundAmongMany)
+TEST(WarmUp, AWarmUpstreamIsFoundAmongManyInSlowStart)
 {
     Fleet f(2, 1, 2); /* the second opens no flow at upstreams in slow start */
 
@@ -171,7 +171,7 @@
 }
 
 /* Guards against: a reported reason that misleads the operator. */
-TEST(WarmUp, AnUpstreamThatHasEndedIsNoReasonToWaitForItsWarmUp)
+TEST(WarmUp, AnEndedUpstreamIsNotReportedAsWarmingUp)
 {
     Fleet f(1, 1, 0);
     FlowBed &bed = *f.bed[0];
@@ -186,7 +186,7 @@
 
 /* Guards against: a bound of zero, read from a service that doesn't set one.
  */
-TEST(WarmUp, WhereNothingIsToldNothingIsBounded)
+TEST(WarmUp, WithoutARateNothingIsBounded)
 {
     Fleet f(8, 4, 0);
 
--- a/test/watch_test.cc
+++ b/test/watch_test.cc
@@ -15,7 +15,7 @@
 
 /* Guards against: an instance that counts its replica as stale although its
  * source is healthy, and repeatedly reads the store itself. */
-TEST(Pace, InCalmNothingLooksOldWhateverTheLinks)
+TEST(Pace, ConfirmedReplicaIsNotStaleAtAnyLinkRate)
 {
     for (ms_t change_ms : {100, 3000, 4000, 5000, 6000, 60000}) {
         for (double mbps : {0.0, 0.1, 2.0, 10.0, 200.0, 1000.0}) {
@@ -35,7 +35,7 @@
 
 /* Guards against: a change that arrives too late because all leaders were cut
  * off silently, and too little time was left to read the configuration. */
-TEST(Pace, WhatIsLeftIsEnoughToReadALongConfiguration)
+TEST(Pace, LeavesTimeToReadLongConfiguration)
 {
     const double BYTES = 460000; /* 350 kB as the store encodes it */
 
@@ -48,7 +48,7 @@
 
 /* Guards against: a time limit of less than a second for changes, which makes
  * an instance call the store without a pause. */
-TEST(Pace, ChangesThatAreDueSoonAreNotFollowedWithoutAPause)
+TEST(Pace, ShortChangeTimeKeepsPauses)
 {
     watch_timing_t p = watch_timing(TOPIC_UPSTREAMS, 100, 10);
 
@@ -58,7 +58,7 @@
 
 /* Guards against: followers that leave a source on a slow link while it
  * receives the update, and fill their own links with the same transfer. */
-TEST(Progress, AnAnswerThatArrivesKeepsAReplicaCurrent)
+TEST(Progress, AnswerInTransferKeepsReplicaCurrent)
 {
     replica_t *r = replica_new(1000);
     store_items_t items = {}, changed;
@@ -176,7 +176,7 @@
 
 /* Guards against: followers that count a source as cut off while a store's
  * answer arrives there over a slow link. */
-TEST_F(Watch, AnAnswerOnTheWayKeepsItsTopicCurrent)
+TEST_F(Watch, AnswerInTransferKeepsTopicCurrent)
 {
     SlowStore store;
     ms_t before = clock_now();
@@ -190,7 +190,7 @@
 
 /* Guards against: a leader that the store refuses, and that looks current to
  * its followers because refusals keep arriving. */
-TEST_F(Watch, ARefusalOnTheWayKeepsNothingCurrent)
+TEST_F(Watch, RefusalInTransferDoesNotKeepTopicCurrent)
 {
     SlowStore store("429 Too Many Requests");
 
@@ -202,7 +202,7 @@
 
 /* Guards against: an instance that follows peers after the store has failed,
  * and reports the store as down for ever. */
-TEST_F(Watch, AStoreThatHasFailedIsTriedUntilItAnswers)
+TEST_F(Watch, RetriesFailedStoreUntilItAnswers)
 {
     SlowStore store("200 OK", "{\"items\":[],\"has_more\":false,"
                               "\"store_revision\":9}");
@@ -223,7 +223,7 @@
 
 /* Guards against: a watch that transfers every version of a series, one after
  * the other, after the store was unavailable. */
-TEST_F(Watch, AfterAFailureTheOperatorsTopicIsListed)
+TEST_F(Watch, ListsOperatorTopicAfterFailure)
 {
     SlowStore store;
 
@@ -233,7 +233,7 @@
     EXPECT_TRUE(w.needs_resync);
 }
 
-TEST(Topics, TextAndBack)
+TEST(Topics, RoundTripsText)
 {
     char upstreams[] = "{\"revision\":7,\"whole\":true,\"age_ms\":20,"
                        "\"items\":[{\"key\":\"servers/a\",\"value\":\"1\","
@@ -258,7 +258,7 @@
 
 /* Guards against: a peer of another release, or a truncated answer, of which
  * the one half would count as complete. */
-TEST(Topics, WithoutBothTheAnswerIsRefused)
+TEST(Topics, RejectsAnswerWithoutBothTopics)
 {
     store_items_t s[TOPICS];
 
