--- a/siskinctl/apply.c
+++ b/siskinctl/apply.c
@@ -6,66 +6,66 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EDIT_TRIES 5
+#define EDIT_ATTEMPTS 5
 
 /* ---- The report to the loser of a race ---- */
 
 typedef struct {
-    uint64_t on;      /* the version that both edited */
-    json_t *mine;     /* what each changed since; NULL when that version */
-    json_t *theirs;   /* is no longer kept */
-    json_t *between;  /* from theirs to mine */
-    json_t *collided; /* lines of mine that touch what theirs touches */
-} race_t;
+    uint64_t base_version; /* the version that both edited */
+    json_t *mine;       /* what each changed since; NULL when that version */
+    json_t *theirs;     /* is no longer kept */
+    json_t *difference; /* from theirs to mine */
+    json_t *collisions; /* lines of mine that touch what theirs touches */
+} conflict_t;
 
 static void
-race_fill(race_t *r, plat_t *p, const conf_bundle_t *mine,
-          const conf_bundle_t *theirs, uint64_t on)
+conflict_init(conflict_t *r, plat_t *p, const conf_bundle_t *mine,
+              const conf_bundle_t *theirs, uint64_t base_version)
 {
     conf_bundle_t base = {0};
 
-    *r = (race_t){.on = on};
-    r->between = ctl_diff(theirs, mine);
-    if (on == 0 || plat_history(p, on, &base, NULL) == 0) {
+    *r = (conflict_t){.base_version = base_version};
+    r->difference = ctl_diff(theirs, mine);
+    if (base_version == 0 || plat_history(p, base_version, &base, NULL) == 0) {
         r->mine = ctl_diff(&base, mine);
         r->theirs = ctl_diff(&base, theirs);
-        r->collided = ctl_collisions(r->mine, r->theirs);
+        r->collisions = ctl_collisions(r->mine, r->theirs);
     }
     bundle_free(&base);
 }
 
 static void
-race_free(race_t *r)
+conflict_free(conflict_t *r)
 {
     json_decref(r->mine);
     json_decref(r->theirs);
-    json_decref(r->between);
-    json_decref(r->collided);
+    json_decref(r->difference);
+    json_decref(r->collisions);
 }
 
 static void
-section(const char *title, const json_t *lines)
+print_section(const char *title, const json_t *lines)
 {
     if (json_array_size(lines) > 0) {
         printf("%s\n", title);
-        ctl_lines(lines);
+        ctl_print_lines(lines);
     }
 }
 
 static void
-race_print(const race_t *r, const conf_bundle_t *theirs)
+conflict_print(const conflict_t *r, const conf_bundle_t *theirs)
 {
     unsigned long long version = theirs->version;
 
     printf("Version %llu came first (change %s).  Nothing was written.\n",
            version, theirs->change_id);
     if (r->mine == NULL) {
-        section("From that version to your files:", r->between);
+        print_section("From that version to your files:", r->difference);
     }
     else {
-        section("It changed:", r->theirs);
-        section("Your files changed:", r->mine);
-        section("Both changed; of your files:", r->collided);
+        print_section("It changed:", r->theirs);
+        print_section("Your files changed:", r->mine);
+        print_section("Both changed; of your files:", r->collisions);
     }
     printf("Bring your files up to it (siskinctl show), then apply them with "
            "--on %llu.\n",
@@ -79,34 +79,35 @@
 }
 
 static ctl_exit_t
-lost(const options_t *o, plat_t *p, const conf_bundle_t *mine,
-     const conf_bundle_t *theirs, uint64_t on)
+report_conflict(const options_t *o, plat_t *p, const conf_bundle_t *mine,
+                const conf_bundle_t *theirs, uint64_t base_version)
 {
-    race_t r;
+    conflict_t r;
 
-    race_fill(&r, p, mine, theirs, on);
+    conflict_init(&r, p, mine, theirs, base_version);
     if (o->json) {
-        ctl_json(json_pack(
+        ctl_print_json(json_pack(
             "{sI ss so so so so}", "lost_to", (json_int_t)theirs->version,
             "change_id", theirs->change_id, "theirs", or_null(r.theirs),
-            "mine", or_null(r.mine), "difference", or_null(r.between),
-            "collisions", or_null(r.collided)));
+            "mine", or_null(r.mine), "difference", or_null(r.difference),
+            "collisions", or_null(r.collisions)));
     }
     else {
-        race_print(&r, theirs);
+        conflict_print(&r, theirs);
     }
-    race_free(&r);
-    return CTL_LOST;
+    conflict_free(&r);
+    return CTL_CONFLICT;
 }
 
 /* ---- apply ---- */
 
 static ctl_exit_t
-accepted(const options_t *o, const conf_bundle_t *b, bool changed)
+print_applied(const options_t *o, const conf_bundle_t *b, bool changed)
 {
     if (o->json) {
-        ctl_json(json_pack("{sI ss sb}", "version", (json_int_t)b->version,
-                           "change_id", b->change_id, "changed", changed));
+        ctl_print_json(json_pack("{sI ss sb}", "version",
+                                 (json_int_t)b->version, "change_id",
+                                 b->change_id, "changed", changed));
     }
     else if (changed) {
         printf("version %llu\n", (unsigned long long)b->version);
@@ -115,21 +116,22 @@
 }
 
 static ctl_exit_t
-write_version(const options_t *o, plat_t *p, conf_bundle_t *b, uint64_t on)
+write_version(const options_t *o, plat_t *p, conf_bundle_t *b,
+              uint64_t base_version)
 {
     conf_bundle_t theirs;
     err_t e = {0};
-    int rc = plat_apply(p, b, on, &theirs, &e);
+    int rc = plat_apply(p, b, base_version, &theirs, &e);
     ctl_exit_t code;
 
     if (rc == 0) {
-        return accepted(o, b, true);
+        return print_applied(o, b, true);
     }
     if (rc == -EAGAIN && theirs.n > 0) {
-        code = lost(o, p, b, &theirs, on);
+        code = report_conflict(o, p, b, &theirs, base_version);
     }
     else {
-        code = ctl_fail(o, ctl_exit_of(rc), &e);
+        code = ctl_fail(o, ctl_exit_code(rc), &e);
     }
     bundle_free(&theirs);
     return code;
@@ -138,7 +140,7 @@
 /* Without --on the version in force might be one that the operator never
  * saw; its changes would be taken back without a word. */
 static ctl_exit_t
-fail_not_on(const options_t *o, uint64_t version)
+fail_no_base_version(const options_t *o, uint64_t version)
 {
     err_t e;
 
@@ -152,10 +154,11 @@
 /* A stale read may show a version from before the one edited: that the same
  * texts were in force then says nothing of now. */
 static bool
-in_force(const options_t *o, const conf_bundle_t *cur, const conf_bundle_t *b)
+already_in_force(const options_t *o, const conf_bundle_t *cur,
+                 const conf_bundle_t *b)
 {
     return cur->n > 0 && cur->hash == b->hash &&
-           (o->on < 0 || cur->version >= (uint64_t)o->on);
+           (o->base_version < 0 || cur->version >= (uint64_t)o->base_version);
 }
 
 static ctl_exit_t
@@ -163,19 +166,20 @@
 {
     conf_bundle_t cur;
     ctl_exit_t code = ctl_read_platform(o, p, &cur);
-    uint64_t on = o->on >= 0 ? (uint64_t)o->on : 0;
+    uint64_t base_version =
+        o->base_version >= 0 ? (uint64_t)o->base_version : 0;
 
     if (code != CTL_OK) {
         return code;
     }
-    if (in_force(o, &cur, b)) {
-        code = accepted(o, &cur, false);
+    if (already_in_force(o, &cur, b)) {
+        code = print_applied(o, &cur, false);
     }
-    else if (cur.n > 0 && o->on < 0) {
-        code = fail_not_on(o, cur.version);
+    else if (cur.n > 0 && o->base_version < 0) {
+        code = fail_no_base_version(o, cur.version);
     }
     else {
-        code = write_version(o, p, b, on);
+        code = write_version(o, p, b, base_version);
     }
     bundle_free(&cur);
     return code;
@@ -196,7 +200,7 @@
     err_t e;
 
     if (o->change_id == NULL) {
-        ctl_change_id(b->change_id);
+        ctl_new_change_id(b->change_id);
         return CTL_OK;
     }
     if (!change_id_valid(o->change_id)) {
@@ -222,7 +226,7 @@
     }
     code = set_change_id(o, &b);
     if (code == CTL_OK) {
-        p = ctl_platform(o);
+        p = ctl_open_platform(o);
         code = apply_files(o, p, &b);
         plat_free(p);
     }
@@ -290,57 +294,57 @@
 
 /* The bundle of the edited texts, with its own hash. */
 static int
-remake(conf_bundle_t *b, err_t *e)
+rebuild_bundle(conf_bundle_t *b, err_t *e)
 {
     conf_source_t src[SOURCES_MAX];
-    conf_bundle_t made;
+    conf_bundle_t rebuilt;
     int rc;
 
     for (size_t i = 0; i < b->n; i++) {
         src[i] = (conf_source_t){b->file[i], b->text[i]};
     }
-    rc = bundle_make(&made, src, b->n, e);
+    rc = bundle_make(&rebuilt, src, b->n, e);
     if (rc == 0) {
         bundle_free(b);
-        *b = made;
+        *b = rebuilt;
     }
     return rc;
 }
 
 /* One try on the version in force.  -EAGAIN: another version came first. */
 static int
-drain_once(plat_t *p, const drain_t *d, conf_bundle_t *b, bool *changed,
-           err_t *e)
+try_drain(plat_t *p, const drain_t *d, conf_bundle_t *b, bool *changed,
+          err_t *e)
 {
     conf_t *before, *after;
-    uint64_t revision, on;
+    uint64_t revision, base_version;
     int rc = plat_config(p, b, &revision, e);
 
     if (rc < 0) {
         return rc == -EIO ? -EHOSTUNREACH : rc;
     }
-    on = b->version;
+    base_version = b->version;
     before = bundle_conf(b, e);
     rc = before != NULL ? edit_bundle(b, before, d, e) : e->code;
     if (rc == 0) {
-        rc = remake(b, e);
+        rc = rebuild_bundle(b, e);
     }
     after = rc == 0 ? bundle_conf(b, e) : NULL;
     *changed = before != NULL && after != NULL &&
                conf_diff(before, after, NULL, NULL) > 0;
     conf_free(before);
     conf_free(after);
-    b->version = on;
+    b->version = base_version;
     if (rc < 0 || !*changed) {
         return rc;
     }
-    ctl_change_id(b->change_id);
-    return plat_apply(p, b, on, NULL, e);
+    ctl_new_change_id(b->change_id);
+    return plat_apply(p, b, base_version, NULL, e);
 }
 
 /* What the options say is to be drained. */
 static int
-read_drain(const options_t *o, drain_t *d, err_t *e)
+parse_drain(const options_t *o, drain_t *d, err_t *e)
 {
     if (o->upstream != NULL && o->data_centre != NULL) {
         return err_set(e, -EINVAL, "drain", o->upstream,
@@ -364,20 +368,20 @@
     plat_t *p;
     int rc = -EAGAIN;
 
-    if (read_drain(o, &d, &e) < 0) {
+    if (parse_drain(o, &d, &e) < 0) {
         return ctl_fail(o, CTL_USAGE, &e);
     }
-    p = ctl_platform(o);
-    for (int i = 0; i < EDIT_TRIES && rc == -EAGAIN; i++) {
+    p = ctl_open_platform(o);
+    for (int i = 0; i < EDIT_ATTEMPTS && rc == -EAGAIN; i++) {
         bundle_free(&b);
-        rc = drain_once(p, &d, &b, &changed, &e);
+        rc = try_drain(p, &d, &b, &changed, &e);
     }
     plat_free(p);
     if (rc < 0) {
         bundle_free(&b);
-        return ctl_fail(o, ctl_exit_of(rc), &e);
+        return ctl_fail(o, ctl_exit_code(rc), &e);
     }
-    accepted(o, &b, changed);
+    print_applied(o, &b, changed);
     bundle_free(&b);
     return CTL_OK;
 }
--- a/siskinctl/explain.c
+++ b/siskinctl/explain.c
@@ -14,27 +14,27 @@
 /* Beliefs are told from so long before the first line of the matter until so
  * long after its last: probing an upstream takes less than a second, and news
  * may be 3 s old. */
-#define AROUND_MS 5000
-#define NAMES_MAX 256
+#define CONTEXT_MS 5000
+#define NAME_SET_MAX 256
 
 /* Names that belong to the matter: flows, upstreams or instances.  Past
  * NAMES_MAX they are left out, and the end says so. */
 typedef struct {
     size_t n;
-    const char *name[NAMES_MAX];
-} names_t;
+    const char *name[NAME_SET_MAX];
+} name_set_t;
 
 typedef struct {
     const logs_t *logs;
     const char *id;
-    names_t flows, upstreams, instances;
-    bool *told; /* of each entry: it belongs to the matter */
+    name_set_t flows, upstreams, instances;
+    bool *selected; /* of each entry: it belongs to the matter */
     ms_t first, last;
     size_t n;
-} matter_t;
+} trace_t;
 
 static bool
-holds(const names_t *s, const char *name)
+name_set_has(const name_set_t *s, const char *name)
 {
     for (size_t i = 0; name != NULL && i < s->n; i++) {
         if (strcmp(s->name[i], name) == 0) {
@@ -45,73 +45,74 @@
 }
 
 static void
-note(names_t *s, const char *name)
+name_set_add(name_set_t *s, const char *name)
 {
-    if (name != NULL && s->n < NAMES_MAX && !holds(s, name)) {
+    if (name != NULL && s->n < NAME_SET_MAX && !name_set_has(s, name)) {
         s->name[s->n++] = name;
     }
 }
 
 /* Entry I belongs to the matter itself. */
 static void
-take(matter_t *m, size_t i)
+select_entry(trace_t *t, size_t i)
 {
-    const log_entry_t *x = &m->logs->entry[i];
+    const log_entry_t *x = &t->logs->entry[i];
 
-    note(&m->flows, log_field(x, "flow"));
-    note(&m->upstreams, log_field(x, "upstream"));
-    note(&m->instances, x->instance);
-    if (m->n == 0 || x->at < m->first) {
-        m->first = x->at;
+    name_set_add(&t->flows, log_field(x, "flow"));
+    name_set_add(&t->upstreams, log_field(x, "upstream"));
+    name_set_add(&t->instances, x->instance);
+    if (t->n == 0 || x->time_ms < t->first) {
+        t->first = x->time_ms;
     }
-    if (m->n == 0 || x->at > m->last) {
-        m->last = x->at;
+    if (t->n == 0 || x->time_ms > t->last) {
+        t->last = x->time_ms;
     }
-    m->n += !m->told[i];
-    m->told[i] = true;
+    t->n += !t->selected[i];
+    t->selected[i] = true;
 }
 
 static bool
-is_named(const matter_t *m, const log_entry_t *x)
+mentions_id(const trace_t *t, const log_entry_t *x)
 {
-    return log_field_is(x, "request", m->id) ||
-           log_field_is(x, "flow", m->id) ||
-           log_field_is(x, "upstream", m->id);
+    return log_field_is(x, "request", t->id) ||
+           log_field_is(x, "flow", t->id) ||
+           log_field_is(x, "upstream", t->id);
 }
 
 /* Lines of the flows that a request took. */
 static void
-follow_flows(matter_t *m)
+select_flow_entries(trace_t *t)
 {
-    for (size_t i = 0; i < m->logs->n; i++) {
-        const log_entry_t *x = &m->logs->entry[i];
+    for (size_t i = 0; i < t->logs->n; i++) {
+        const log_entry_t *x = &t->logs->entry[i];
         const char *request = log_field(x, "request");
-        bool others = request != NULL && strcmp(request, m->id) != 0;
-        if (holds(&m->flows, log_field(x, "flow")) && !others) {
-            take(m, i);
+        bool other_request = request != NULL && strcmp(request, t->id) != 0;
+        if (name_set_has(&t->flows, log_field(x, "flow")) && !other_request) {
+            select_entry(t, i);
         }
     }
 }
 
 /* Whether X tells of a belief that may have decided. */
 static bool
-is_belief(const matter_t *m, const log_entry_t *x)
+is_context(const trace_t *t, const log_entry_t *x)
 {
-    if (x->at < m->first - AROUND_MS || x->at > m->last + AROUND_MS ||
-        !holds(&m->instances, x->instance)) {
+    if (x->time_ms < t->first - CONTEXT_MS ||
+        x->time_ms > t->last + CONTEXT_MS ||
+        !name_set_has(&t->instances, x->instance)) {
         return false;
     }
     if (strcmp(x->part, "reach") == 0 || strcmp(x->part, "upstreams") == 0) {
-        return holds(&m->upstreams, log_field(x, "upstream"));
+        return name_set_has(&t->upstreams, log_field(x, "upstream"));
     }
     return strcmp(x->part, "flow") != 0 && strcmp(x->part, "request") != 0;
 }
 
 static void
-print(const matter_t *m, const log_entry_t *x)
+print_entry(const trace_t *t, const log_entry_t *x)
 {
-    printf("%+8lld ms  %s %s: %s", (long long)(x->at - m->first), x->instance,
-           x->part, x->sentence);
+    printf("%+8lld ms  %s %s: %s", (long long)(x->time_ms - t->first),
+           x->instance, x->part, x->message);
     for (uint32_t i = 0; i < x->n_fields; i++) {
         const char *v = x->field[i].value;
         const char *quote = strchr(v, ' ') != NULL ? "\"" : "";
@@ -121,24 +122,24 @@
 }
 
 static size_t
-count(const matter_t *m, const char *part, const char *sentence)
+count_entries(const trace_t *t, const char *part, const char *message)
 {
     size_t n = 0;
 
-    for (size_t i = 0; i < m->logs->n; i++) {
-        n += m->told[i] && log_says(&m->logs->entry[i], part, sentence);
+    for (size_t i = 0; i < t->logs->n; i++) {
+        n += t->selected[i] && log_matches(&t->logs->entry[i], part, message);
     }
     return n;
 }
 
 /* The last line of the matter that says how it ended, or NULL. */
 static const log_entry_t *
-last_end(const matter_t *m)
+last_termination(const trace_t *t)
 {
-    for (size_t i = m->logs->n; i-- > 0;) {
-        const log_entry_t *x = &m->logs->entry[i];
-        if (m->told[i] &&
-            (log_says(x, "flow", "Reset") || log_says(x, "flow", "Dropped"))) {
+    for (size_t i = t->logs->n; i-- > 0;) {
+        const log_entry_t *x = &t->logs->entry[i];
+        if (t->selected[i] && (log_matches(x, "flow", "Reset") ||
+                               log_matches(x, "flow", "Dropped"))) {
             return x;
         }
     }
@@ -146,30 +147,32 @@
 }
 
 static const char *
-or_more(const names_t *s)
+overflow_suffix(const name_set_t *s)
 {
-    return s->n == NAMES_MAX ? " or more" : "";
+    return s->n == NAME_SET_MAX ? " or more" : "";
 }
 
 static void
-conclude(const matter_t *m)
+print_summary(const trace_t *t)
 {
-    size_t begun = count(m, "request", "Begins");
-    const log_entry_t *end = last_end(m);
+    size_t begun = count_entries(t, "request", "Begins");
+    const log_entry_t *end = last_termination(t);
 
     printf(
         "\n%zu lines in %lld ms; flows: %zu%s, upstreams: %zu%s, instances: "
         "%zu%s\n",
-        m->n, (long long)(m->last - m->first), m->flows.n, or_more(&m->flows),
-        m->upstreams.n, or_more(&m->upstreams), m->instances.n,
-        or_more(&m->instances));
+        t->n, (long long)(t->last - t->first), t->flows.n,
+        overflow_suffix(&t->flows), t->upstreams.n,
+        overflow_suffix(&t->upstreams), t->instances.n,
+        overflow_suffix(&t->instances));
     printf("opened %zu, begun %zu, reset %zu, dropped %zu\n",
-           count(m, "flow", "Opening"), begun, count(m, "flow", "Reset"),
-           count(m, "flow", "Dropped"));
+           count_entries(t, "flow", "Opening"), begun,
+           count_entries(t, "flow", "Reset"),
+           count_entries(t, "flow", "Dropped"));
     if (end != NULL) {
         const char *reason = log_field(end, "reason");
-        printf("last ended by %s: %s reason=%s\n", end->instance,
-               end->sentence, reason != NULL ? reason : "-");
+        printf("last ended by %s: %s reason=%s\n", end->instance, end->message,
+               reason != NULL ? reason : "-");
     }
     else if (begun > 0) {
         printf("passed on each time: no instance reset or dropped it, so its "
@@ -178,38 +181,38 @@
 }
 
 static ctl_exit_t
-tell(matter_t *m, const options_t *o)
+explain(trace_t *t, const options_t *o)
 {
     err_t e;
 
-    for (size_t i = 0; i < m->logs->n; i++) {
-        if (is_named(m, &m->logs->entry[i])) {
-            take(m, i);
+    for (size_t i = 0; i < t->logs->n; i++) {
+        if (mentions_id(t, &t->logs->entry[i])) {
+            select_entry(t, i);
         }
     }
-    if (m->n == 0) {
-        err_set(&e, -ENOENT, "explain", m->id,
+    if (t->n == 0) {
+        err_set(&e, -ENOENT, "explain", t->id,
                 "no line names it; expected the id of a request or upstream, "
                 "or a flow as IP:PORT>IP:PORT. Lines may have been left out: "
                 "siskin_log_lines_limited_total");
-        return ctl_fail(o, CTL_NO, &e);
+        return ctl_fail(o, CTL_NEGATIVE, &e);
     }
-    if (!holds(&m->upstreams, m->id)) {
-        follow_flows(m);
+    if (!name_set_has(&t->upstreams, t->id)) {
+        select_flow_entries(t);
     }
-    for (size_t i = 0; i < m->logs->n; i++) {
-        if (m->told[i] || is_belief(m, &m->logs->entry[i])) {
-            print(m, &m->logs->entry[i]);
+    for (size_t i = 0; i < t->logs->n; i++) {
+        if (t->selected[i] || is_context(t, &t->logs->entry[i])) {
+            print_entry(t, &t->logs->entry[i]);
         }
     }
-    conclude(m);
+    print_summary(t);
     return CTL_OK;
 }
 
 ctl_exit_t
 cmd_explain(const options_t *o)
 {
-    matter_t m = {.id = o->id};
+    trace_t t = {.id = o->id};
     ctl_exit_t rc;
     logs_t logs;
     err_t e;
@@ -217,16 +220,16 @@
     if (logs_read(&logs, o->files, o->n_files, &e) < 0) {
         return ctl_fail(o, CTL_USAGE, &e);
     }
-    m.logs = &logs;
-    m.told = calloc(logs.n + 1, sizeof(*m.told));
-    if (m.told == NULL) {
-        err_set(&e, -ENOMEM, "explain", m.id, "out of memory");
+    t.logs = &logs;
+    t.selected = calloc(logs.n + 1, sizeof(*t.selected));
+    if (t.selected == NULL) {
+        err_set(&e, -ENOMEM, "explain", t.id, "out of memory");
         rc = ctl_fail(o, CTL_USAGE, &e);
     }
     else {
-        rc = tell(&m, o);
+        rc = explain(&t, o);
     }
-    free(m.told);
+    free(t.selected);
     logs_free(&logs);
     return rc;
 }
--- a/siskinctl/files.c
+++ b/siskinctl/files.c
@@ -10,10 +10,10 @@
 typedef struct {
     size_t n;
     conf_source_t src[CTL_FILES_MAX];
-} texts_t;
+} sources_t;
 
 static void
-texts_free(texts_t *t)
+sources_free(sources_t *t)
 {
     for (size_t i = 0; i < t->n; i++) {
         free((char *)t->src[i].text);
@@ -22,7 +22,7 @@
 
 /* The base goes first, wherever it was named. */
 static int
-order(texts_t *t, err_t *e)
+move_base_first(sources_t *t, err_t *e)
 {
     char name[NAME_LEN];
     conf_source_t base;
@@ -41,7 +41,7 @@
 }
 
 static int
-texts_read(texts_t *t, const options_t *o, err_t *e)
+sources_read(sources_t *t, const options_t *o, err_t *e)
 {
     char *text;
 
@@ -52,27 +52,27 @@
         }
         t->src[t->n++] = (conf_source_t){o->files[i], text};
     }
-    return order(t, e);
+    return move_base_first(t, e);
 }
 
 ctl_exit_t
 ctl_read_files(const options_t *o, conf_bundle_t *b)
 {
-    texts_t t = {.n = 0};
+    sources_t t = {.n = 0};
     err_t e = {0};
     int rc;
 
     *b = (conf_bundle_t){0};
-    rc = texts_read(&t, o, &e);
+    rc = sources_read(&t, o, &e);
     if (rc == 0) {
         rc = bundle_make(b, t.src, t.n, &e);
     }
-    texts_free(&t);
+    sources_free(&t);
     return rc < 0 ? ctl_fail(o, CTL_USAGE, &e) : CTL_OK;
 }
 
 plat_t *
-ctl_platform(const options_t *o)
+ctl_open_platform(const options_t *o)
 {
     plat_t *p = plat_new(o->platform);
 
@@ -92,12 +92,13 @@
     err_t e = {0};
     uint64_t revision;
 
-    return plat_config(p, b, &revision, &e) < 0 ? ctl_fail(o, CTL_AWAY, &e)
-                                                : CTL_OK;
+    return plat_config(p, b, &revision, &e) < 0
+               ? ctl_fail(o, CTL_UNREACHABLE, &e)
+               : CTL_OK;
 }
 
 void
-ctl_change_id(char id[CHANGE_ID_LEN])
+ctl_new_change_id(char id[CHANGE_ID_LEN])
 {
     uint64_t random[2];
 
--- a/siskinctl/instance.c
+++ b/siskinctl/instance.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_MS 3000
+#define CALL_TIMEOUT_MS 3000
 
 static ctl_exit_t
 fail_status(const options_t *o, const http_call_t *c, const http_reply_t *r)
@@ -16,7 +16,7 @@
 
     err_set(&e, -EPROTO, c->step, o->admin, "answered with status %ld: %.160s",
             r->status, r->body);
-    return ctl_fail(o, CTL_NO, &e);
+    return ctl_fail(o, CTL_NEGATIVE, &e);
 }
 
 static ctl_exit_t
@@ -35,7 +35,7 @@
     *h = http_new(url);
     if (*h == NULL) {
         err_set(&e, -ENOMEM, step, o->admin, "Out of memory.");
-        return ctl_fail(o, CTL_AWAY, &e);
+        return ctl_fail(o, CTL_UNREACHABLE, &e);
     }
     return CTL_OK;
 }
@@ -43,16 +43,16 @@
 /* Of a POST that was sent and not answered nobody knows whether it took
  * effect. */
 static ctl_exit_t
-exit_of_call(const http_call_t *c, int rc)
+call_exit_code(const http_call_t *c, int rc)
 {
-    return c->method == HTTP_GET || rc == -ECONNREFUSED ? CTL_AWAY
+    return c->method == HTTP_GET || rc == -ECONNREFUSED ? CTL_UNREACHABLE
                                                         : CTL_UNKNOWN;
 }
 
 /* Prints the JSON that the instance answered with. */
 static ctl_exit_t
-answer(const options_t *o, const http_call_t *c, const http_reply_t *r,
-       bool print)
+print_reply(const options_t *o, const http_call_t *c, const http_reply_t *r,
+            bool print)
 {
     json_t *body = json_loads(r->body, 0, NULL);
     ctl_exit_t code = CTL_OK;
@@ -61,10 +61,10 @@
         code = fail_status(o, c, r);
     }
     else if (o->json) {
-        ctl_json(body != NULL ? json_incref(body) : json_object());
+        ctl_print_json(body != NULL ? json_incref(body) : json_object());
     }
     else if (print) {
-        ctl_table(body);
+        ctl_print_table(body);
     }
     json_decref(body);
     return code;
@@ -84,10 +84,10 @@
     }
     rc = http_call(h, c, &r, &e);
     if (rc < 0) {
-        code = ctl_fail(o, exit_of_call(c, rc), &e);
+        code = ctl_fail(o, call_exit_code(c, rc), &e);
     }
     else {
-        code = answer(o, c, &r, print);
+        code = print_reply(o, c, &r, print);
     }
     http_free(h);
     return code;
@@ -97,7 +97,7 @@
 cmd_status(const options_t *o)
 {
     const http_call_t c = {
-        .path = "/status", .timeout_ms = CALL_MS, .step = "status"};
+        .path = "/status", .timeout_ms = CALL_TIMEOUT_MS, .step = "status"};
 
     return call(o, &c, true);
 }
@@ -106,7 +106,7 @@
 cmd_flows(const options_t *o)
 {
     const http_call_t c = {
-        .path = "/flows", .timeout_ms = CALL_MS, .step = "flows"};
+        .path = "/flows", .timeout_ms = CALL_TIMEOUT_MS, .step = "flows"};
 
     return call(o, &c, true);
 }
@@ -116,7 +116,7 @@
 {
     const http_call_t c = {.method = HTTP_POST,
                            .path = draining ? "/drain" : "/undrain",
-                           .timeout_ms = CALL_MS,
+                           .timeout_ms = CALL_TIMEOUT_MS,
                            .step = draining ? "drain" : "undrain"};
 
     return o->upstream != NULL || o->data_centre != NULL
--- a/siskinctl/logs.c
+++ b/siskinctl/logs.c
@@ -10,18 +10,19 @@
 #include <string.h>
 #include <time.h>
 
-#define READ_BYTES (1 << 16)
-#define TIME_LEN 24 /* 2026-01-02T03:04:05.678Z */
+#define READ_CHUNK (1 << 16)
+#define TIMESTAMP_LEN 24 /* 2026-01-02T03:04:05.678Z */
 
 /* ---- One line ---- */
 
 static bool
-is_time(const char *s)
+is_timestamp(const char *s)
 {
-    static const char form[] = "dddd-dd-ddTdd:dd:dd.dddZ";
+    static const char format[] = "dddd-dd-ddTdd:dd:dd.dddZ";
 
-    for (size_t i = 0; form[i] != '\0'; i++) {
-        if (form[i] == 'd' ? !isdigit((unsigned char)s[i]) : s[i] != form[i]) {
+    for (size_t i = 0; format[i] != '\0'; i++) {
+        if (format[i] == 'd' ? !isdigit((unsigned char)s[i])
+                             : s[i] != format[i]) {
             return false;
         }
     }
@@ -29,7 +30,7 @@
 }
 
 static ms_t
-read_time(const char *s)
+parse_timestamp(const char *s)
 {
     struct tm t = {0};
     const char *end = strptime(s, "%Y-%m-%dT%H:%M:%S", &t);
@@ -39,7 +40,7 @@
 
 /* The next word of *S, ended by a NUL; *S is behind it. */
 static char *
-word(char **s)
+next_word(char **s)
 {
     char *begin = *s + strspn(*s, " ");
     size_t len = strcspn(begin, " ");
@@ -51,12 +52,12 @@
 
 /* A value that stands in quotes may hold spaces. */
 static char *
-value(char **s)
+next_value(char **s)
 {
     char *begin = *s, *end;
 
     if (*begin != '"') {
-        return word(s);
+        return next_word(s);
     }
     begin++;
     end = begin;
@@ -71,7 +72,7 @@
 
 /* The first field of S: " name=", the name in small letters. */
 static char *
-first_field(char *s)
+find_first_field(char *s)
 {
     for (char *p = strchr(s, ' '); p != NULL; p = strchr(p + 1, ' ')) {
         size_t len = strspn(p + 1, "abcdefghijklmnopqrstuvwxyz_");
@@ -83,7 +84,7 @@
 }
 
 static void
-read_fields(log_entry_t *x, char *s)
+parse_fields(log_entry_t *x, char *s)
 {
     while (x->n_fields < LOG_FIELDS_MAX) {
         char *name = s + strspn(s, " ");
@@ -93,38 +94,38 @@
         }
         *equals = '\0';
         s = equals + 1;
-        x->field[x->n_fields++] = (log_field_t){name, value(&s)};
+        x->field[x->n_fields++] = (log_field_t){name, next_value(&s)};
     }
 }
 
 static bool
-read_entry(log_entry_t *x, char *line)
+parse_entry(log_entry_t *x, char *line)
 {
     char *s = line, *part, *fields;
     size_t len;
 
-    while (*s != '\0' && !is_time(s)) {
+    while (*s != '\0' && !is_timestamp(s)) {
         s++;
     }
     if (*s == '\0') {
         return false;
     }
-    *x = (log_entry_t){.at = read_time(s)};
-    s += TIME_LEN;
-    word(&s); /* the level */
-    x->instance = word(&s);
-    part = word(&s);
+    *x = (log_entry_t){.time_ms = parse_timestamp(s)};
+    s += TIMESTAMP_LEN;
+    next_word(&s); /* the level */
+    x->instance = next_word(&s);
+    part = next_word(&s);
     len = strlen(part);
     if (len == 0 || part[len - 1] != ':') {
         return false;
     }
     part[len - 1] = '\0';
     x->part = part;
-    x->sentence = s;
-    fields = first_field(s);
+    x->message = s;
+    fields = find_first_field(s);
     if (fields != NULL) {
         *fields = '\0';
-        read_fields(x, fields + 1);
+        parse_fields(x, fields + 1);
     }
     return true;
 }
@@ -132,7 +133,7 @@
 /* ---- Files ---- */
 
 static int
-add(logs_t *l, const log_entry_t *x)
+add_entry(logs_t *l, const log_entry_t *x)
 {
     log_entry_t *grown =
         array_grow(l->entry, &l->cap, l->n + 1, sizeof(*grown));
@@ -142,7 +143,7 @@
     }
     l->entry = grown;
     l->entry[l->n] = *x;
-    l->entry[l->n].read_as = l->n;
+    l->entry[l->n].input_order = l->n;
     l->n++;
     return 0;
 }
@@ -156,9 +157,9 @@
     char *text = NULL;
 
     do {
-        if (len + READ_BYTES + 1 > cap) {
+        if (len + READ_CHUNK + 1 > cap) {
             char *grown;
-            cap = 2 * cap + READ_BYTES + 1;
+            cap = 2 * cap + READ_CHUNK + 1;
             grown = realloc(text, cap);
             if (grown == NULL) {
                 free(text);
@@ -166,7 +167,7 @@
             }
             text = grown;
         }
-        got = fread(text + len, 1, READ_BYTES, in);
+        got = fread(text + len, 1, READ_CHUNK, in);
         len += got;
     } while (got > 0);
     for (size_t i = 0; i < len; i++) { /* a crash may leave NULs in a log */
@@ -181,7 +182,7 @@
 }
 
 static int
-read_lines(logs_t *l, char *text)
+parse_lines(logs_t *l, char *text)
 {
     char *next;
 
@@ -191,10 +192,10 @@
         if (next != NULL) {
             *next++ = '\0';
         }
-        if (!read_entry(&x, line)) {
+        if (!parse_entry(&x, line)) {
             l->unreadable++;
         }
-        else if (add(l, &x) < 0) {
+        else if (add_entry(l, &x) < 0) {
             return -ENOMEM;
         }
     }
@@ -204,8 +205,8 @@
 static int
 read_file(logs_t *l, const char *name, err_t *e)
 {
-    bool standard = strcmp(name, "-") == 0;
-    FILE *in = standard ? stdin : fopen(name, "r");
+    bool is_stdin = strcmp(name, "-") == 0;
+    FILE *in = is_stdin ? stdin : fopen(name, "r");
     char *text = in != NULL ? read_all(in) : NULL;
     int rc = 0;
 
@@ -214,24 +215,25 @@
     }
     else {
         l->text[l->n_texts++] = text;
-        if (read_lines(l, text) < 0) {
+        if (parse_lines(l, text) < 0) {
             rc = err_set(e, -ENOMEM, "read log", name, "out of memory");
         }
     }
-    if (in != NULL && !standard) {
+    if (in != NULL && !is_stdin) {
         fclose(in);
     }
     return rc;
 }
 
 static int
-earlier(const void *a, const void *b)
+compare_entries(const void *a, const void *b)
 {
     const log_entry_t *x = a, *y = b;
 
-    return x->at != y->at
-               ? (x->at > y->at) - (x->at < y->at)
-               : (x->read_as > y->read_as) - (x->read_as < y->read_as);
+    return x->time_ms != y->time_ms
+               ? (x->time_ms > y->time_ms) - (x->time_ms < y->time_ms)
+               : (x->input_order > y->input_order) -
+                     (x->input_order < y->input_order);
 }
 
 int
@@ -256,7 +258,7 @@
         return rc;
     }
     if (l->n > 0) {
-        qsort(l->entry, l->n, sizeof(*l->entry), earlier);
+        qsort(l->entry, l->n, sizeof(*l->entry), compare_entries);
     }
     return 0;
 }
@@ -284,16 +286,16 @@
 }
 
 bool
-log_field_is(const log_entry_t *x, const char *name, const char *value_)
+log_field_is(const log_entry_t *x, const char *name, const char *value)
 {
     const char *v = log_field(x, name);
 
-    return v != NULL && strcmp(v, value_) == 0;
+    return v != NULL && strcmp(v, value) == 0;
 }
 
 bool
-log_says(const log_entry_t *x, const char *part, const char *begin)
+log_matches(const log_entry_t *x, const char *part, const char *begin)
 {
     return strcmp(x->part, part) == 0 &&
-           strncmp(x->sentence, begin, strlen(begin)) == 0;
+           strncmp(x->message, begin, strlen(begin)) == 0;
 }
--- a/siskinctl/logs.h
+++ b/siskinctl/logs.h
@@ -12,9 +12,9 @@
 
 /* One line; all text stands in the file that it was read from. */
 typedef struct {
-    ms_t at;        /* since 1970 */
-    size_t read_as; /* the how-manieth */
-    const char *instance, *part, *sentence;
+    ms_t time_ms;       /* since 1970 */
+    size_t input_order; /* the how-manieth */
+    const char *instance, *part, *message;
     uint32_t n_fields;
     log_field_t field[LOG_FIELDS_MAX];
 } log_entry_t;
@@ -36,6 +36,6 @@
 /* True where the field is there and has that value. */
 bool log_field_is(const log_entry_t *x, const char *name, const char *value);
 /* True for a line of PART whose sentence begins so. */
-bool log_says(const log_entry_t *x, const char *part, const char *begin);
+bool log_matches(const log_entry_t *x, const char *part, const char *begin);
 
 #endif
--- a/siskinctl/main.c
+++ b/siskinctl/main.c
@@ -75,7 +75,7 @@
 } args_t;
 
 static void *
-take(args_t *a, bool wanted, void *arg)
+add_arg(args_t *a, bool wanted, void *arg)
 {
     if (wanted) {
         a->table[a->n++] = arg;
@@ -88,66 +88,69 @@
 static void
 args_build(args_t *a, unsigned opts)
 {
-    int least = opts & OPT_FILES ? 1 : 0;
-    int most = opts & (OPT_FILES | OPT_LOGS) ? CTL_FILES_MAX : 1;
-    const char *what = opts & OPT_FILES  ? "FILE"
-                       : opts & OPT_LOGS ? "LOG"
-                                         : "NAME";
-    const char *meaning = opts & OPT_FILES ? "base file and overlays"
-                          : opts & OPT_LOGS
-                              ? "instances' logs (none, or -: standard input)"
-                              : "base, or a data centre";
+    int min_files = opts & OPT_FILES ? 1 : 0;
+    int max_files = opts & (OPT_FILES | OPT_LOGS) ? CTL_FILES_MAX : 1;
+    const char *placeholder = opts & OPT_FILES  ? "FILE"
+                              : opts & OPT_LOGS ? "LOG"
+                                                : "NAME";
+    const char *description =
+        opts & OPT_FILES  ? "base file and overlays"
+        : opts & OPT_LOGS ? "instances' logs (none, or -: standard input)"
+                          : "base, or a data centre";
 
     *a = (args_t){0};
-    a->help = take(a, true, arg_lit0("h", "help", "print this"));
-    a->json = take(a, opts & OPT_JSON,
-                   arg_lit0(NULL, "json", "JSON on standard output"));
-    a->settings = take(
+    a->help = add_arg(a, true, arg_lit0("h", "help", "print this"));
+    a->json = add_arg(a, opts & OPT_JSON,
+                      arg_lit0(NULL, "json", "JSON on standard output"));
+    a->settings = add_arg(
         a, opts & OPT_SETTINGS,
         arg_lit0(NULL, "settings", "the files are settings of instances"));
-    a->platform = take(a, opts & OPT_PLATFORM,
-                       arg_str0("p", "platform", "URL",
-                                "the platform (" PLATFORM_DEFAULT
-                                ", or $SISKIN_PLATFORM)"));
-    a->admin = take(a, opts & OPT_ADMIN,
-                    arg_str0("a", "admin", "IP:PORT",
-                             "admin port of the instance (" ADMIN_DEFAULT
-                             ", or $SISKIN_ADMIN)"));
-    a->upstream = take(a, opts & OPT_UPSTREAM,
-                       arg_str0("u", "upstream", "IP:PORT",
-                                "the upstream, in place of an instance"));
+    a->platform = add_arg(a, opts & OPT_PLATFORM,
+                          arg_str0("p", "platform", "URL",
+                                   "the platform (" PLATFORM_DEFAULT
+                                   ", or $SISKIN_PLATFORM)"));
+    a->admin = add_arg(a, opts & OPT_ADMIN,
+                       arg_str0("a", "admin", "IP:PORT",
+                                "admin port of the instance (" ADMIN_DEFAULT
+                                ", or $SISKIN_ADMIN)"));
+    a->upstream = add_arg(a, opts & OPT_UPSTREAM,
+                          arg_str0("u", "upstream", "IP:PORT",
+                                   "the upstream, in place of an instance"));
     a->data_centre =
-        take(a, opts & OPT_DATA_CENTRE,
-             arg_str0("d", "data-centre", "NAME",
-                      "all upstreams there, in place of an instance"));
-    a->into = take(a, opts & OPT_INTO,
-                   arg_str0(NULL, "into", "DIR", "write to new files there"));
-    a->on = take(a, opts & OPT_ON,
-                 arg_int0(NULL, "on", "N", "the version that was edited"));
-    a->change_id = take(a, opts & OPT_ON,
-                        arg_str0(NULL, "change-id", "ID",
-                                 "of an earlier try whose outcome is "
-                                 "unknown"));
-    a->count = take(a, opts & OPT_COUNT,
-                    arg_int0("n", "count", "N", "stop after N versions"));
-    a->id = take(a, opts & OPT_ID,
-                 arg_str1(NULL, NULL, "ID",
-                          "of a request or an upstream, or a flow as "
-                          "IP:PORT>IP:PORT"));
-    a->files = take(a, opts & (OPT_FILES | OPT_FILE_OPT | OPT_LOGS),
-                    arg_filen(NULL, NULL, what, least, most, meaning));
-    a->end = take(a, true, arg_end(ERRORS_MAX));
+        add_arg(a, opts & OPT_DATA_CENTRE,
+                arg_str0("d", "data-centre", "NAME",
+                         "all upstreams there, in place of an instance"));
+    a->into =
+        add_arg(a, opts & OPT_INTO,
+                arg_str0(NULL, "into", "DIR", "write to new files there"));
+    a->on = add_arg(a, opts & OPT_ON,
+                    arg_int0(NULL, "on", "N", "the version that was edited"));
+    a->change_id = add_arg(a, opts & OPT_ON,
+                           arg_str0(NULL, "change-id", "ID",
+                                    "of an earlier try whose outcome is "
+                                    "unknown"));
+    a->count = add_arg(a, opts & OPT_COUNT,
+                       arg_int0("n", "count", "N", "stop after N versions"));
+    a->id = add_arg(a, opts & OPT_ID,
+                    arg_str1(NULL, NULL, "ID",
+                             "of a request or an upstream, or a flow as "
+                             "IP:PORT>IP:PORT"));
+    a->files = add_arg(
+        a, opts & (OPT_FILES | OPT_FILE_OPT | OPT_LOGS),
+        arg_filen(NULL, NULL, placeholder, min_files, max_files, description));
+    a->end = add_arg(a, true, arg_end(ERRORS_MAX));
 }
 
 static const char *
-string_or_env(const struct arg_str *arg, const char *env, const char *absent)
+string_or_env(const struct arg_str *arg, const char *env,
+              const char *default_value)
 {
     const char *s = getenv(env);
 
     if (arg != NULL && arg->count > 0) {
         return arg->sval[0];
     }
-    return s != NULL && *s != '\0' ? s : absent;
+    return s != NULL && *s != '\0' ? s : default_value;
 }
 
 static const char *
@@ -173,10 +176,11 @@
         .admin = string_or_env(a->admin, "SISKIN_ADMIN", ADMIN_DEFAULT),
         .upstream = string_or_null(a->upstream),
         .data_centre = string_or_null(a->data_centre),
-        .into = string_or_null(a->into),
+        .output_dir = string_or_null(a->into),
         .id = string_or_null(a->id),
         .change_id = string_or_null(a->change_id),
-        .on = a->on != NULL && a->on->count > 0 ? a->on->ival[0] : -1,
+        .base_version =
+            a->on != NULL && a->on->count > 0 ? a->on->ival[0] : -1,
         .count =
             a->count != NULL && a->count->count > 0 ? a->count->ival[0] : 0,
     };
--- a/siskinctl/output.c
+++ b/siskinctl/output.c
@@ -14,8 +14,9 @@
 ctl_fail(const options_t *o, ctl_exit_t code, const err_t *e)
 {
     if (o->json) {
-        ctl_json(json_pack("{s{ss ss ss si}}", "error", "step", e->step,
-                           "peer", e->peer, "text", e->text, "exit", code));
+        ctl_print_json(json_pack("{s{ss ss ss si}}", "error", "step", e->step,
+                                 "peer", e->peer, "text", e->text, "exit",
+                                 code));
     }
     else if (strcmp(e->step, "check") == 0) {
         fprintf(stderr, "%s: %s\n", e->peer, e->text);
@@ -27,25 +28,25 @@
 }
 
 ctl_exit_t
-ctl_exit_of(int rc)
+ctl_exit_code(int rc)
 {
     switch (rc) {
     case 0:
         return CTL_OK;
     case -EINVAL:
     case -ENOENT:
-        return CTL_NO;
+        return CTL_NEGATIVE;
     case -EAGAIN:
-        return CTL_LOST;
+        return CTL_CONFLICT;
     case -EIO:
         return CTL_UNKNOWN;
     default:
-        return CTL_AWAY;
+        return CTL_UNREACHABLE;
     }
 }
 
 void
-ctl_json(json_t *o)
+ctl_print_json(json_t *o)
 {
     json_dumpf(o, stdout, JSON_COMPACT | JSON_SORT_KEYS);
     putchar('\n');
@@ -53,7 +54,7 @@
 }
 
 void
-ctl_lines(const json_t *list)
+ctl_print_lines(const json_t *list)
 {
     size_t i;
     json_t *line;
@@ -65,28 +66,28 @@
 }
 
 int
-ctl_write(const options_t *o, const char *step, const char *name,
-          const char *text, err_t *e)
+ctl_write_file(const options_t *o, const char *step, const char *name,
+               const char *text, err_t *e)
 {
     char path[512];
     FILE *f;
-    int bad;
+    int failed;
 
-    snprintf(path, sizeof(path), "%s/%s", o->into, name);
+    snprintf(path, sizeof(path), "%s/%s", o->output_dir, name);
     f = fopen(path, "wx");
     if (f == NULL) {
         return err_set(e, -EIO, step, path, "%s", strerror(errno));
     }
-    bad = fputs(text, f) < 0;
-    bad |= fclose(f) != 0;
-    return bad ? err_set(e, -EIO, step, path, "can't be written whole") : 0;
+    failed = fputs(text, f) < 0;
+    failed |= fclose(f) != 0;
+    return failed ? err_set(e, -EIO, step, path, "can't be written whole") : 0;
 }
 
 /* ---- Tables ---- */
 
 /* A value on one line: "yes", "12", "urgent=3 feed=1", "-" for nothing. */
 static void
-cell(const json_t *v, char *buf, size_t cap)
+format_cell(const json_t *v, char *buf, size_t cap)
 {
     char inner[CELL_LEN];
     const char *key;
@@ -115,7 +116,7 @@
     case JSON_OBJECT:
         json_object_foreach((json_t *)v, key, entry)
         {
-            cell(entry, inner, sizeof(inner));
+            format_cell(entry, inner, sizeof(inner));
             if (used < cap) {
                 used += (size_t)snprintf(buf + used, cap - used, "%s%s=%s",
                                          used > 0 ? " " : "", key, inner);
@@ -125,7 +126,7 @@
     case JSON_ARRAY:
         json_array_foreach(v, i, entry)
         {
-            cell(entry, inner, sizeof(inner));
+            format_cell(entry, inner, sizeof(inner));
             if (used < cap) {
                 used += (size_t)snprintf(buf + used, cap - used, "%s%s",
                                          used > 0 ? "," : "", inner);
@@ -142,7 +143,7 @@
 } columns_t;
 
 static void
-widen(columns_t *c, const char *key, const json_t *value)
+fit_column(columns_t *c, const char *key, const json_t *value)
 {
     char text[CELL_LEN];
     size_t i = 0;
@@ -158,7 +159,7 @@
         c->key[c->n] = key;
         c->width[c->n++] = (int)strlen(key);
     }
-    cell(value, text, sizeof(text));
+    format_cell(value, text, sizeof(text));
     len = (int)strlen(text);
     c->width[i] = len > c->width[i] ? len : c->width[i];
 }
@@ -175,7 +176,7 @@
         v = json_object_get(row, c->key[i]);
         snprintf(text, sizeof(text), "%s", row == NULL ? c->key[i] : "-");
         if (v != NULL) {
-            cell(v, text, sizeof(text));
+            format_cell(v, text, sizeof(text));
         }
         printf("%s%-*s", i > 0 ? "  " : "", last ? 0 : c->width[i], text);
     }
@@ -194,7 +195,7 @@
     {
         json_object_foreach(row, key, value)
         {
-            widen(&c, key, value);
+            fit_column(&c, key, value);
         }
     }
     printf("\n%s\n", name);
@@ -206,13 +207,13 @@
 }
 
 static bool
-is_rows(const json_t *v)
+is_table(const json_t *v)
 {
     return json_is_object(json_array_get(v, 0));
 }
 
 void
-ctl_table(const json_t *o)
+ctl_print_table(const json_t *o)
 {
     char text[CELL_LEN];
     const char *key;
@@ -220,14 +221,14 @@
 
     json_object_foreach((json_t *)o, key, value)
     {
-        if (!is_rows(value)) {
-            cell(value, text, sizeof(text));
+        if (!is_table(value)) {
+            format_cell(value, text, sizeof(text));
             printf("%-*s %s\n", KEY_WIDTH, key, text);
         }
     }
     json_object_foreach((json_t *)o, key, value)
     {
-        if (is_rows(value)) {
+        if (is_table(value)) {
             print_rows(key, value);
         }
     }
--- a/siskinctl/report.c
+++ b/siskinctl/report.c
@@ -11,7 +11,8 @@
 
 /* Rows by name; each row an object of counters. */
 typedef struct {
-    json_t *instances, *upstreams, *resets, *beliefs, *versions, *seconds;
+    json_t *instances, *upstreams, *terminations, *reach_changes, *versions,
+        *seconds;
     json_t *starting; /* instances that have no version yet */
     ms_t from, to;
 } report_t;
@@ -31,25 +32,25 @@
 }
 
 static void
-set(json_t *r, const char *field, json_int_t value)
+set_counter(json_t *r, const char *field, json_int_t value)
 {
     json_object_set_new(r, field, json_integer(value));
 }
 
 static json_int_t
-get(const json_t *r, const char *field)
+get_counter(const json_t *r, const char *field)
 {
     return json_integer_value(json_object_get(r, field));
 }
 
 static void
-bump(json_t *r, const char *field)
+increment(json_t *r, const char *field)
 {
-    set(r, field, get(r, field) + 1);
+    set_counter(r, field, get_counter(r, field) + 1);
 }
 
 static json_int_t
-number(const log_entry_t *x, const char *field)
+field_integer(const log_entry_t *x, const char *field)
 {
     const char *v = log_field(x, field);
 
@@ -57,7 +58,7 @@
 }
 
 static const char *
-text(const log_entry_t *x, const char *field)
+field_text(const log_entry_t *x, const char *field)
 {
     const char *v = log_field(x, field);
 
@@ -65,12 +66,12 @@
 }
 
 static json_t *
-second_of(report_t *r, const log_entry_t *x)
+second_row(report_t *r, const log_entry_t *x)
 {
     char name[32];
 
     snprintf(name, sizeof(name), "%lld",
-             (long long)((x->at - r->from) / 1000));
+             (long long)((x->time_ms - r->from) / 1000));
     return row(r->seconds, name);
 }
 
@@ -78,10 +79,10 @@
 static void
 count_load(report_t *r, const log_entry_t *x, const char *field)
 {
-    bump(row(r->instances, x->instance), field);
-    bump(second_of(r, x), field);
+    increment(row(r->instances, x->instance), field);
+    increment(second_row(r, x), field);
     if (log_field(x, "upstream") != NULL) {
-        bump(row(r->upstreams, text(x, "upstream")), field);
+        increment(row(r->upstreams, field_text(x, "upstream")), field);
     }
 }
 
@@ -90,61 +91,63 @@
 static void
 count_version(report_t *r, const log_entry_t *x)
 {
-    bool starts = json_object_del(r->starting, x->instance) == 0;
-    ms_t at = x->at - r->from;
+    bool is_starting = json_object_del(r->starting, x->instance) == 0;
+    ms_t time_ms = x->time_ms - r->from;
     json_t *v;
 
-    set(row(r->instances, x->instance), "version", number(x, "version"));
-    if (starts) {
+    set_counter(row(r->instances, x->instance), "version",
+                field_integer(x, "version"));
+    if (is_starting) {
         return;
     }
-    v = row(r->versions, text(x, "version"));
+    v = row(r->versions, field_text(x, "version"));
     if (json_object_get(v, "first_ms") == NULL) {
-        set(v, "first_ms", at);
+        set_counter(v, "first_ms", time_ms);
     }
-    set(v, "last_ms", at);
-    set(v, "spread_ms", at - get(v, "first_ms"));
-    bump(v, "instances");
+    set_counter(v, "last_ms", time_ms);
+    set_counter(v, "spread_ms", time_ms - get_counter(v, "first_ms"));
+    increment(v, "instances");
 }
 
 static void
 count_serving(report_t *r, const log_entry_t *x)
 {
     json_t *i = row(r->instances, x->instance);
-    json_int_t took = number(x, "since_start_ms");
+    json_int_t start_ms = field_integer(x, "since_start_ms");
 
-    bump(i, "starts");
-    if (took > get(i, "slowest_start_ms")) {
-        set(i, "slowest_start_ms", took);
+    increment(i, "starts");
+    if (start_ms > get_counter(i, "slowest_start_ms")) {
+        set_counter(i, "slowest_start_ms", start_ms);
     }
 }
 
 static void
 count_entry(report_t *r, const log_entry_t *x)
 {
-    if (log_says(x, "request", "Begins")) {
+    if (log_matches(x, "request", "Begins")) {
         count_load(r, x, "requests");
     }
-    else if (log_says(x, "flow", "Opening")) {
+    else if (log_matches(x, "flow", "Opening")) {
         count_load(r, x, "openings");
     }
-    else if (log_says(x, "flow", "Reset") || log_says(x, "flow", "Dropped")) {
-        count_load(r, x, x->sentence[0] == 'R' ? "resets" : "dropped");
-        bump(row(r->resets, text(x, "reason")), "times");
+    else if (log_matches(x, "flow", "Reset") ||
+             log_matches(x, "flow", "Dropped")) {
+        count_load(r, x, x->message[0] == 'R' ? "resets" : "dropped");
+        increment(row(r->terminations, field_text(x, "reason")), "times");
     }
     else if (strcmp(x->part, "reach") == 0) {
-        json_t *b = row(r->beliefs, text(x, "why"));
-        json_object_set_new(b, "is", json_string(text(x, "is")));
-        bump(b, "times");
-        bump(row(r->upstreams, text(x, "upstream")), "beliefs");
+        json_t *b = row(r->reach_changes, field_text(x, "why"));
+        json_object_set_new(b, "is", json_string(field_text(x, "is")));
+        increment(b, "times");
+        increment(row(r->upstreams, field_text(x, "upstream")), "beliefs");
     }
-    else if (log_says(x, "routes", "In force")) {
+    else if (log_matches(x, "routes", "In force")) {
         count_version(r, x);
     }
-    else if (log_says(x, "main", "Started")) {
+    else if (log_matches(x, "main", "Started")) {
         json_object_set_new(r->starting, x->instance, json_true());
     }
-    else if (log_says(x, "packets", "Serving")) {
+    else if (log_matches(x, "packets", "Serving")) {
         count_serving(r, x);
     }
 }
@@ -175,8 +178,8 @@
                      "unreadable", (json_int_t)l->unreadable, "upstreams_seen",
                      (json_int_t)json_object_size(r->upstreams), "instances",
                      rows(r->instances, "instance"), "endings",
-                     rows(r->resets, "reason"), "beliefs",
-                     rows(r->beliefs, "why"), "versions",
+                     rows(r->terminations, "reason"), "beliefs",
+                     rows(r->reach_changes, "why"), "versions",
                      rows(r->versions, "version"), "upstreams",
                      rows(r->upstreams, "upstream"));
 }
@@ -248,7 +251,7 @@
     {
         fprintf(f, "\n%s", key);
         for (size_t i = 0; p->field[i] != NULL; i++) {
-            fprintf(f, " %lld", (long long)get(r, p->field[i]));
+            fprintf(f, " %lld", (long long)get_counter(r, p->field[i]));
         }
     }
     fprintf(f, "\n");
@@ -261,12 +264,12 @@
 {
     const json_t *table[] = {r->seconds, r->upstreams, r->versions,
                              r->instances};
-    int rc = ctl_write(o, "report", "report.gp", plots, e);
+    int rc = ctl_write_file(o, "report", "report.gp", plots, e);
 
     for (size_t i = 0; i < sizeof(table) / sizeof(table[0]) && rc == 0; i++) {
         char *data = data_text(&plot_data[i], table[i]);
         rc = data != NULL
-                 ? ctl_write(o, "report", plot_data[i].file, data, e)
+                 ? ctl_write_file(o, "report", plot_data[i].file, data, e)
                  : err_set(e, -ENOMEM, "report", "memory", "out of memory");
         free(data);
     }
@@ -276,19 +279,19 @@
 /* ---- The command ---- */
 
 static ctl_exit_t
-tell(const options_t *o, const report_t *r, const logs_t *l)
+print_report(const options_t *o, const report_t *r, const logs_t *l)
 {
     json_t *out = summary(r, l);
     err_t e = {0};
 
     if (o->json) {
-        ctl_json(out);
+        ctl_print_json(out);
     }
     else {
-        ctl_table(out);
+        ctl_print_table(out);
         json_decref(out);
     }
-    if (o->into != NULL && write_plots(o, r, &e) < 0) {
+    if (o->output_dir != NULL && write_plots(o, r, &e) < 0) {
         return ctl_fail(o, CTL_USAGE, &e);
     }
     return CTL_OK;
@@ -300,8 +303,8 @@
     report_t r = {
         .instances = json_object(),
         .upstreams = json_object(),
-        .resets = json_object(),
-        .beliefs = json_object(),
+        .terminations = json_object(),
+        .reach_changes = json_object(),
         .versions = json_object(),
         .seconds = json_object(),
         .starting = json_object(),
@@ -314,17 +317,17 @@
         return ctl_fail(o, CTL_USAGE, &e);
     }
     if (logs.n > 0) {
-        r.from = logs.entry[0].at;
-        r.to = logs.entry[logs.n - 1].at;
+        r.from = logs.entry[0].time_ms;
+        r.to = logs.entry[logs.n - 1].time_ms;
     }
     for (size_t i = 0; i < logs.n; i++) {
         count_entry(&r, &logs.entry[i]);
     }
-    rc = tell(o, &r, &logs);
+    rc = print_report(o, &r, &logs);
     json_decref(r.instances);
     json_decref(r.upstreams);
-    json_decref(r.resets);
-    json_decref(r.beliefs);
+    json_decref(r.terminations);
+    json_decref(r.reach_changes);
     json_decref(r.versions);
     json_decref(r.seconds);
     json_decref(r.starting);
--- a/siskinctl/version.c
+++ b/siskinctl/version.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WATCH_MS 30000
-#define RETRY_S 1 /* between tries without a new version */
+#define WATCH_TIMEOUT_MS 30000
+#define RETRY_INTERVAL_S 1 /* between tries without a new version */
 
 /* ---- check ---- */
 
@@ -37,7 +37,7 @@
         bundle_free(&b);
     }
     if (code == CTL_OK && o->json) {
-        ctl_json(json_pack("{sb}", "ok", 1));
+        ctl_print_json(json_pack("{sb}", "ok", 1));
     }
     return code;
 }
@@ -52,17 +52,18 @@
     bool same = cur->n > 0 && cur->hash == files->hash;
 
     if (o->json) {
-        ctl_json(json_pack("{sI sb sO}", "version", (json_int_t)cur->version,
-                           "same", same, "differences", lines));
+        ctl_print_json(json_pack("{sI sb sO}", "version",
+                                 (json_int_t)cur->version, "same", same,
+                                 "differences", lines));
     }
     else {
-        ctl_lines(lines);
+        ctl_print_lines(lines);
     }
     if (!same && json_array_size(lines) == 0 && !o->json) {
         printf("Only comments or layout differ.\n");
     }
     json_decref(lines);
-    return same ? CTL_OK : CTL_NO;
+    return same ? CTL_OK : CTL_NEGATIVE;
 }
 
 ctl_exit_t
@@ -75,7 +76,7 @@
     if (code != CTL_OK) {
         return code;
     }
-    p = ctl_platform(o);
+    p = ctl_open_platform(o);
     code = ctl_read_platform(o, p, &cur);
     plat_free(p);
     if (code == CTL_OK) {
@@ -94,11 +95,11 @@
     err_t e;
 
     err_set(&e, -ENOENT, "show", peer, "%s", text);
-    return ctl_fail(o, CTL_NO, &e);
+    return ctl_fail(o, CTL_NEGATIVE, &e);
 }
 
 static ctl_exit_t
-show_one(const options_t *o, const conf_bundle_t *b)
+show_text(const options_t *o, const conf_bundle_t *b)
 {
     for (size_t i = 0; i < b->n; i++) {
         if (strcmp(b->file[i], o->files[0]) == 0) {
@@ -111,15 +112,15 @@
 }
 
 static ctl_exit_t
-show_into(const options_t *o, const conf_bundle_t *b)
+show_to_dir(const options_t *o, const conf_bundle_t *b)
 {
     char name[NAME_LEN + 8];
     err_t e;
 
     for (size_t i = 0; i < b->n; i++) {
         snprintf(name, sizeof(name), "%s.toml", b->file[i]);
-        if (ctl_write(o, "show", name, b->text[i], &e) < 0) {
-            return ctl_fail(o, CTL_NO, &e);
+        if (ctl_write_file(o, "show", name, b->text[i], &e) < 0) {
+            return ctl_fail(o, CTL_NEGATIVE, &e);
         }
     }
     printf("version %llu\n", (unsigned long long)b->version);
@@ -153,16 +154,16 @@
         return fail_show(o, o->platform, "no version has been applied yet");
     }
     if (o->n_files > 0) {
-        return show_one(o, b);
+        return show_text(o, b);
     }
-    return o->into != NULL ? show_into(o, b) : show_all(o, b);
+    return o->output_dir != NULL ? show_to_dir(o, b) : show_all(o, b);
 }
 
 ctl_exit_t
 cmd_show(const options_t *o)
 {
     conf_bundle_t b;
-    plat_t *p = ctl_platform(o);
+    plat_t *p = ctl_open_platform(o);
     ctl_exit_t code = ctl_read_platform(o, p, &b);
 
     plat_free(p);
@@ -176,19 +177,20 @@
 /* ---- watch ---- */
 
 static void
-tell_version(const options_t *o, const conf_bundle_t *old,
-             const conf_bundle_t *b)
+print_version(const options_t *o, const conf_bundle_t *old,
+              const conf_bundle_t *b)
 {
     json_t *lines = old->n > 0 ? ctl_diff(old, b) : json_array();
 
     if (o->json) {
-        ctl_json(json_pack("{sI ss sO}", "version", (json_int_t)b->version,
-                           "change_id", b->change_id, "differences", lines));
+        ctl_print_json(json_pack("{sI ss sO}", "version",
+                                 (json_int_t)b->version, "change_id",
+                                 b->change_id, "differences", lines));
     }
     else {
         printf("version %llu, change %s\n", (unsigned long long)b->version,
                b->change_id);
-        ctl_lines(lines);
+        ctl_print_lines(lines);
     }
     fflush(stdout);
     json_decref(lines);
@@ -199,10 +201,10 @@
 next_version(plat_t *p, const conf_bundle_t *last, uint64_t *revision,
              conf_bundle_t *next, err_t *e)
 {
-    uint64_t seen;
+    uint64_t next_revision;
     char *json;
-    int rc =
-        plat_get(p, PLAT_CONFIG_KEY, WATCH_MS, *revision, &json, &seen, e);
+    int rc = plat_get(p, PLAT_CONFIG_KEY, WATCH_TIMEOUT_MS, *revision, &json,
+                      &next_revision, e);
 
     if (rc < 0) {
         return rc;
@@ -221,37 +223,37 @@
         bundle_free(next);
         return -ENODATA;
     }
-    *revision = seen;
+    *revision = next_revision;
     return 0;
 }
 
 ctl_exit_t
 cmd_watch(const options_t *o)
 {
-    plat_t *p = ctl_platform(o);
+    plat_t *p = ctl_open_platform(o);
     conf_bundle_t last = {0}, next;
     uint64_t revision = 0;
-    int64_t told = 0;
-    bool away = false;
+    int64_t printed = 0;
+    bool unreachable = false;
     err_t e;
     int rc;
 
-    while (o->count == 0 || told < o->count) {
+    while (o->count == 0 || printed < o->count) {
         rc = next_version(p, &last, &revision, &next, &e);
         if (rc == 0) {
-            tell_version(o, &last, &next);
+            print_version(o, &last, &next);
             bundle_free(&last);
             last = next;
-            told++;
-            away = false;
+            printed++;
+            unreachable = false;
             continue;
         }
-        if (rc != -ENODATA && !away) {
-            ctl_fail(o, CTL_AWAY, &e);
+        if (rc != -ENODATA && !unreachable) {
+            ctl_fail(o, CTL_UNREACHABLE, &e);
             fflush(stdout);
         }
-        away = rc != -ENODATA;
-        sleep(RETRY_S);
+        unreachable = rc != -ENODATA;
+        sleep(RETRY_INTERVAL_S);
     }
     bundle_free(&last);
     plat_free(p);
