--- a/siskinctl/apply.c
+++ b/siskinctl/apply.c
@@ -1,4 +1,4 @@
-/* siskinctl apply, and drain of upstreams, which is a small apply. */
+/* siskinctl apply, and drain of upstreams, which applies an edited version. */
 #include "siskinctl/ctl.h"
 
 #include <errno.h>
@@ -8,14 +8,14 @@
 
 #define EDIT_ATTEMPTS 5
 
-/* ---- The report to the loser of a race ---- */
+/* ---- Report of a conflict with a version applied meanwhile ---- */
 
 typedef struct {
-    uint64_t base_version; /* the version that both edited */
-    json_t *mine;       /* what each changed since; NULL when that version */
-    json_t *theirs;     /* is no longer kept */
-    json_t *difference; /* from theirs to mine */
-    json_t *collisions; /* lines of mine that touch what theirs touches */
+    uint64_t base_version; /* the version that both edited; 0: none */
+    json_t *mine;          /* changes of each since base_version; */
+    json_t *theirs;        /* NULL if it is no longer stored */
+    json_t *difference;    /* from theirs to mine */
+    json_t *collisions;    /* lines of mine whose subject theirs changes */
 } conflict_t;
 
 static void
@@ -137,8 +137,8 @@
     return code;
 }
 
-/* Without --on the version in force might be one that the operator never
- * saw; its changes would be taken back without a word. */
+/* Without --on, the version in force may be one that the operator has not
+ * seen; applying the files would silently revert its changes. */
 static ctl_exit_t
 fail_no_base_version(const options_t *o, uint64_t version)
 {
@@ -151,8 +151,8 @@
     return ctl_fail(o, CTL_USAGE, &e);
 }
 
-/* A stale read may show a version from before the one edited: that the same
- * texts were in force then says nothing of now. */
+/* A stale read may return a version older than the edited one.  Equal texts in
+ * that version do not mean that they are in force now. */
 static bool
 already_in_force(const options_t *o, const conf_bundle_t *cur,
                  const conf_bundle_t *b)
@@ -236,14 +236,14 @@
 
 /* ---- drain --upstream, drain --data-centre ---- */
 
-/* What is drained: an upstream, or all of a data centre. */
+/* Target of a drain: an upstream, or all upstreams of a data centre. */
 typedef struct {
     addr_t upstream;
-    const char *data_centre; /* NULL: the upstream */
+    const char *data_centre; /* NULL: drain the upstream */
     bool draining;
 } drain_t;
 
-/* Edits the overlay that has the upstream.  -ENOENT: none has. */
+/* Edits the overlay that contains the upstream; -ENOENT if there is none. */
 static int
 edit_upstream(conf_bundle_t *b, const addr_t *a, bool draining, err_t *e)
 {
@@ -265,7 +265,7 @@
                    "no upstream in force has this address");
 }
 
-/* Edits the overlays for what D says; BEFORE is what they hold. */
+/* Applies D to the overlays of B; BEFORE is their parsed content. */
 static int
 edit_bundle(conf_bundle_t *b, const conf_t *before, const drain_t *d, err_t *e)
 {
@@ -292,7 +292,7 @@
     return rc;
 }
 
-/* The bundle of the edited texts, with its own hash. */
+/* Makes the bundle again from the edited texts, with a new hash. */
 static int
 rebuild_bundle(conf_bundle_t *b, err_t *e)
 {
@@ -311,7 +311,8 @@
     return rc;
 }
 
-/* One try on the version in force.  -EAGAIN: another version came first. */
+/* Makes one attempt on the version in force; -EAGAIN if another version was
+ * applied meanwhile. */
 static int
 try_drain(plat_t *p, const drain_t *d, conf_bundle_t *b, bool *changed,
           err_t *e)
@@ -342,7 +343,7 @@
     return plat_apply(p, b, base_version, NULL, e);
 }
 
-/* What the options say is to be drained. */
+/* Reads the target of the drain from the options. */
 static int
 parse_drain(const options_t *o, drain_t *d, err_t *e)
 {
--- a/siskinctl/explain.c
+++ b/siskinctl/explain.c
@@ -1,8 +1,8 @@
-/* siskinctl explain: what instances' logs tell of a request, a flow or an
- * upstream, in the order of time, and what follows from it.
+/* siskinctl explain: prints the log lines of a request, a flow or an upstream
+ * in chronological order, with a summary.
  *
- * A request is led back to its flows, flows to their upstreams, and upstreams
- * to what was believed of them around that time. */
+ * A request is traced to its flows, flows to their upstreams, and upstreams to
+ * their reachability as instances saw it around that time. */
 #include "siskinctl/ctl.h"
 #include "siskinctl/logs.h"
 
@@ -11,14 +11,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beliefs are told from so long before the first line of the matter until so
- * long after its last: probing an upstream takes less than a second, and news
- * may be 3 s old. */
+/* Context lines are printed from this long before the first selected line to
+ * this long after the last.  Probing an upstream takes less than a second, and
+ * updates may be 3 s old. */
 #define CONTEXT_MS 5000
 #define NAME_SET_MAX 256
 
-/* Names that belong to the matter: flows, upstreams or instances.  Past
- * NAMES_MAX they are left out, and the end says so. */
+/* Flows, upstreams or instances of the selected lines.  Names beyond
+ * NAME_SET_MAX are left out; the summary then prints "or more". */
 typedef struct {
     size_t n;
     const char *name[NAME_SET_MAX];
@@ -28,7 +28,7 @@
     const logs_t *logs;
     const char *id;
     name_set_t flows, upstreams, instances;
-    bool *selected; /* of each entry: it belongs to the matter */
+    bool *selected; /* by entry: mentions the ID, or belongs to its flows */
     ms_t first, last;
     size_t n;
 } trace_t;
@@ -52,7 +52,7 @@
     }
 }
 
-/* Entry I belongs to the matter itself. */
+/* Selects entry I and adds its names and time to the trace. */
 static void
 select_entry(trace_t *t, size_t i)
 {
@@ -79,7 +79,7 @@
            log_field_is(x, "upstream", t->id);
 }
 
-/* Lines of the flows that a request took. */
+/* Selects the lines of the known flows, except those of other requests. */
 static void
 select_flow_entries(trace_t *t)
 {
@@ -93,7 +93,8 @@
     }
 }
 
-/* Whether X tells of a belief that may have decided. */
+/* Reports whether X may explain a decision: a line near the selected ones,
+ * from one of their instances, that is not about another flow or upstream. */
 static bool
 is_context(const trace_t *t, const log_entry_t *x)
 {
@@ -132,7 +133,7 @@
     return n;
 }
 
-/* The last line of the matter that says how it ended, or NULL. */
+/* Returns the last selected reset or drop, or NULL. */
 static const log_entry_t *
 last_termination(const trace_t *t)
 {
--- a/siskinctl/files.c
+++ b/siskinctl/files.c
@@ -1,4 +1,4 @@
-/* The operators' files and the version in force, as bundles. */
+/* Reading operators' files and the version in force into bundles. */
 #include "siskinctl/ctl.h"
 
 #include <errno.h>
@@ -20,7 +20,7 @@
     }
 }
 
-/* The base goes first, wherever it was named. */
+/* Moves the base file to the front; it may be named in any position. */
 static int
 move_base_first(sources_t *t, err_t *e)
 {
@@ -133,7 +133,8 @@
     return lines;
 }
 
-/* The length of what a line is about: from the sign to ": ". */
+/* Returns the length of the subject of a line, which ends at ": "; includes
+ * the sign in front. */
 static size_t
 subject_len(const char *line)
 {
@@ -142,8 +143,8 @@
     return end != NULL ? (size_t)(end - line) : strlen(line);
 }
 
-/* "service a" holds "service a queue": one who removes the service collides
- * with one who edits it. */
+/* "service a" includes "service a queue": removing a service conflicts with
+ * editing it. */
 static bool
 same_subject(const char *x, const char *y)
 {
--- a/siskinctl/instance.c
+++ b/siskinctl/instance.c
@@ -1,5 +1,5 @@
-/* siskinctl status, flows, drain and undrain: the admin port of an instance.
- */
+/* siskinctl status, flows, drain and undrain: calls to the admin port of an
+ * instance. */
 #include "plat/http.h"
 #include "siskinctl/ctl.h"
 
@@ -34,14 +34,13 @@
     snprintf(url, sizeof(url), "http://%s", o->admin);
     *h = http_new(url);
     if (*h == NULL) {
-        err_set(&e, -ENOMEM, step, o->admin, "Out of memory.");
+        err_set(&e, -ENOMEM, step, o->admin, "out of memory");
         return ctl_fail(o, CTL_UNREACHABLE, &e);
     }
     return CTL_OK;
 }
 
-/* Of a POST that was sent and not answered nobody knows whether it took
- * effect. */
+/* A POST that was sent but not answered may or may not have taken effect. */
 static ctl_exit_t
 call_exit_code(const http_call_t *c, int rc)
 {
@@ -49,7 +48,7 @@
                                                         : CTL_UNKNOWN;
 }
 
-/* Prints the JSON that the instance answered with. */
+/* Checks the reply of the instance and prints its JSON, if requested. */
 static ctl_exit_t
 print_reply(const options_t *o, const http_call_t *c, const http_reply_t *r,
             bool print)
--- a/siskinctl/logs.c
+++ b/siskinctl/logs.c
@@ -1,6 +1,6 @@
-/* Reading logs: "TIME LEVEL INSTANCE PART: Sentence. name=value name="..."".
- * What stands before the time, say the name of a machine that a collector has
- * added, is passed over. */
+/* Parser of log lines: "TIME LEVEL INSTANCE PART: Message. name=value
+ * name="..."".  Text before the time, such as a host name added by a log
+ * collector, is skipped. */
 #include "siskinctl/logs.h"
 
 #include <ctype.h>
@@ -38,7 +38,7 @@
     return end != NULL ? (ms_t)timegm(&t) * 1000 + atoi(end + 1) : 0;
 }
 
-/* The next word of *S, ended by a NUL; *S is behind it. */
+/* Returns the next word of *S, NUL-terminated in place, and advances *S. */
 static char *
 next_word(char **s)
 {
@@ -50,7 +50,7 @@
     return begin;
 }
 
-/* A value that stands in quotes may hold spaces. */
+/* Like next_word, but a value in quotes may contain spaces. */
 static char *
 next_value(char **s)
 {
@@ -70,7 +70,8 @@
     return begin;
 }
 
-/* The first field of S: " name=", the name in small letters. */
+/* Returns the first " name=" in S, or NULL.  Names have only lower-case
+ * letters and underscores. */
 static char *
 find_first_field(char *s)
 {
@@ -148,8 +149,8 @@
     return 0;
 }
 
-/* All of IN, ended by a NUL (malloc); NULL without memory or when it can't be
- * read. */
+/* Returns the contents of IN, NUL-terminated, which the caller frees; NULL
+ * when out of memory or on a read error. */
 static char *
 read_all(FILE *in)
 {
@@ -170,7 +171,7 @@
         got = fread(text + len, 1, READ_CHUNK, in);
         len += got;
     } while (got > 0);
-    for (size_t i = 0; i < len; i++) { /* a crash may leave NULs in a log */
+    for (size_t i = 0; i < len; i++) { /* a crash can leave NULs in a log */
         text[i] = text[i] == '\0' ? ' ' : text[i];
     }
     text[len] = '\0';
--- a/siskinctl/main.c
+++ b/siskinctl/main.c
@@ -1,6 +1,6 @@
-/* siskinctl: check, apply and follow the configuration, look at instances.
- * One table names each command, what it is for and which options it takes.
- */
+/* siskinctl: check, apply and watch the configuration, and inspect instances.
+ * The table of commands holds the function, the options and the help text of
+ * each. */
 #include "siskinctl/ctl.h"
 
 #include <argtable2.h>
@@ -21,8 +21,8 @@
     OPT_INTO = 1 << 5,
     OPT_ON = 1 << 6, /* and --change-id */
     OPT_COUNT = 1 << 7,
-    OPT_FILES = 1 << 8,    /* one at least */
-    OPT_FILE_OPT = 1 << 9, /* one at most */
+    OPT_FILES = 1 << 8,    /* at least one */
+    OPT_FILE_OPT = 1 << 9, /* at most one */
     OPT_ID = 1 << 10,
     OPT_LOGS = 1 << 11, /* none: standard input */
     OPT_DATA_CENTRE = 1 << 12,
@@ -62,7 +62,7 @@
 
 #define N_COMMANDS (sizeof(commands) / sizeof(commands[0]))
 
-/* The options of one command, in argtable's form. */
+/* The argtable entries of a command; NULL for options it does not have. */
 typedef struct {
     struct arg_lit *help, *json, *settings;
     struct arg_str *platform, *admin, *upstream, *data_centre, *into;
--- a/siskinctl/output.c
+++ b/siskinctl/output.c
@@ -1,4 +1,4 @@
-/* Errors, JSON and tables on the terminal. */
+/* Output of errors, JSON and tables. */
 #include "siskinctl/ctl.h"
 
 #include <errno.h>
@@ -80,12 +80,15 @@
     }
     failed = fputs(text, f) < 0;
     failed |= fclose(f) != 0;
-    return failed ? err_set(e, -EIO, step, path, "can't be written whole") : 0;
+    return failed
+               ? err_set(e, -EIO, step, path, "write failed or was incomplete")
+               : 0;
 }
 
 /* ---- Tables ---- */
 
-/* A value on one line: "yes", "12", "urgent=3 feed=1", "-" for nothing. */
+/* Formats a value on one line: "yes", "12", "urgent=3 feed=1"; "-" if empty.
+ */
 static void
 format_cell(const json_t *v, char *buf, size_t cap)
 {
@@ -164,7 +167,7 @@
     c->width[i] = len > c->width[i] ? len : c->width[i];
 }
 
-/* ROW of NULL: the header. */
+/* Prints the header if ROW is NULL. */
 static void
 print_row(const columns_t *c, const json_t *row)
 {
--- a/siskinctl/report.c
+++ b/siskinctl/report.c
@@ -1,6 +1,7 @@
-/* siskinctl report: what instances' logs tell of a time as a whole: who
- * served how much, what was reset and why, what was believed of upstreams,
- * when versions came into force, how fast instances served after a start. */
+/* siskinctl report: summary of instances' logs over their whole period: load
+ * of each instance and upstream, resets by reason, reachability changes of
+ * upstreams, when versions came into force, and the time from start to serving
+ * of instances. */
 #include "siskinctl/ctl.h"
 #include "siskinctl/logs.h"
 
@@ -9,11 +10,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rows by name; each row an object of counters. */
+/* Tables of rows by name; each row is an object of counters. */
 typedef struct {
     json_t *instances, *upstreams, *terminations, *reach_changes, *versions,
         *seconds;
-    json_t *starting; /* instances that have no version yet */
+    json_t *starting; /* started instances without a version yet */
     ms_t from, to;
 } report_t;
 
@@ -75,7 +76,7 @@
     return row(r->seconds, name);
 }
 
-/* FIELD of the instance, the upstream and the second grows by one. */
+/* Increments FIELD of the instance, the second and the upstream, if any. */
 static void
 count_load(report_t *r, const log_entry_t *x, const char *field)
 {
@@ -86,8 +87,8 @@
     }
 }
 
-/* An instance that starts takes an old version late: that says nothing of how
- * fast versions spread. */
+/* The first version after a start is not counted: it may be an old one, and
+ * says nothing about how fast versions spread. */
 static void
 count_version(report_t *r, const log_entry_t *x)
 {
@@ -154,7 +155,7 @@
 
 /* ---- Printing ---- */
 
-/* TABLE as rows that begin with NAME. */
+/* Returns TABLE as an array of rows, each with its key in the field NAME. */
 static json_t *
 rows(const json_t *table, const char *name)
 {
@@ -230,7 +231,8 @@
      {"openings", "requests", "resets", "slowest_start_ms"}},
 };
 
-/* TABLE as lines of P's fields; malloc, or NULL. */
+/* Returns TABLE as gnuplot data with the fields of P.  The caller frees the
+ * text; NULL when out of memory. */
 static char *
 data_text(const plot_data_t *p, const json_t *table)
 {
--- a/siskinctl/version.c
+++ b/siskinctl/version.c
@@ -1,4 +1,5 @@
-/* siskinctl check, diff, show and watch: files and versions, read only. */
+/* siskinctl check, diff, show and watch: read-only commands on files and
+ * versions. */
 #include "siskinctl/ctl.h"
 
 #include <errno.h>
@@ -8,7 +9,8 @@
 #include <unistd.h>
 
 #define WATCH_TIMEOUT_MS 30000
-#define RETRY_INTERVAL_S 1 /* between tries without a new version */
+#define RETRY_INTERVAL_S 1 /* after an error or a wait without a new version  \
+                            */
 
 /* ---- check ---- */
 
@@ -196,7 +198,7 @@
     json_decref(lines);
 }
 
-/* Waits for a version later than LAST's.  -ENODATA: none yet. */
+/* Waits for a version later than LAST; -ENODATA if there is none yet. */
 static int
 next_version(plat_t *p, const conf_bundle_t *last, uint64_t *revision,
              conf_bundle_t *next, err_t *e)
@@ -217,8 +219,8 @@
     if (rc < 0) {
         return rc;
     }
-    /* The wait is over without a change, or a stale read shows an earlier
-     * version again. */
+    /* The wait timed out without a change, or a stale read returned an
+     * earlier version. */
     if (next->version <= last->version) {
         bundle_free(next);
         return -ENODATA;
--- a/test/ctl_config.sh
+++ b/test/ctl_config.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The operators' day: check, apply, an edit, a race of two operators, lost
-# answers, an outage, a drained upstream.  usage: test/ctl_config.sh BUILD
+# Tests the configuration commands: check, apply, diff, show, watch and drain,
+# with conflicting edits of two operators, lost replies, stale reads and an
+# outage of the platform.  usage: test/ctl_config.sh BUILD
 . "$(dirname "$0")/ctl_lib.bash"
 
 edit() {                # FILE SED-COMMAND
--- a/test/ctl_lib.bash
+++ b/test/ctl_lib.bash
@@ -1,6 +1,6 @@
-# Shared by the scripted runs of siskinctl: a platform, commands that are
-# printed with their output and exit code, comparison with what is expected.
-# Sourced with the build directory as $1.
+# Functions shared by the scripted tests of siskinctl: starts a platform, prints
+# commands with their output and exit code, and compares the result with the
+# expected output.  Sourced with the build directory as $1.
 set -u
 b=$(realpath "$1")
 name=$(basename "$0" .sh)
@@ -27,7 +27,7 @@
     return 1
 }
 
-# A port that another run has is left to it.
+# Tries another port when one is in use, for instance by another test run.
 start_platform() {
     for n in $(seq 10); do
         port=$((20000 + ($$ + n * 1009) % 12000))
@@ -42,7 +42,7 @@
     exit 1
 }
 
-switch() {              # QUERY: the platform's faults
+switch() {              # QUERY: sets fault switches of the platform
     exec 3<>"/dev/tcp/127.0.0.1/$port"
     printf 'POST /v1/switch?%s HTTP/1.0\r\nContent-Length: 0\r\n\r\n' "$1" >&3
     cat <&3 >/dev/null
@@ -50,19 +50,19 @@
     echo "# platform: $1"
 }
 
-ctl() {                 # runs and prints a command, its output and exit code
+ctl() {                 # runs a command; prints it, its output and exit code
     echo "\$ siskinctl${*:+ $*}"
     "$b/siskinctl" "$@" 2>&1
     local rc=$?
     [ $rc -eq 0 ] || echo "exit $rc"
 }
 
-# Ports and change IDs of our own making differ from run to run.
+# Replaces ports and generated change IDs, which differ from run to run.
 plain() {
     sed -E "s/:${port:-none}/:PORT/g; s/[0-9a-f]{32}/ID/g;
         s/ base.toml .*ostrava-sal.toml$/ FILES/"
 }
 
-expect() {              # reads what the run printed
+expect() {              # compares standard input with the expected output
     plain | diff -u "$root/test/expect/$name.txt" -
 }
--- a/test/ctl_logs.sh
+++ b/test/ctl_logs.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# siskinctl explain and report read instances' logs: what became of a request,
-# a flow, an upstream; what a time was like; plots.  Lines of other programs
-# and of a collector that puts a name in front are passed over.
+# Tests siskinctl explain and report on instances' logs: the trace of a request,
+# a flow and an upstream, the summary of a period, and plots.  Lines of other
+# programs are skipped, as is a host name that a log collector put in front.
 # usage: test/ctl_logs.sh BUILD
 . "$(dirname "$0")/ctl_lib.bash"
 
--- a/test/ctl_man.sh
+++ b/test/ctl_man.sh
@@ -1,26 +1,27 @@
 #!/usr/bin/env bash
-# The pages keep up with the program: each option and key is told, and the
-# example of siskin-config(5) checks.  usage: test/ctl_man.sh BUILD
+# Checks the man pages against the program: every option and settings key is
+# documented, and the example in siskin-config(5) is valid.
+# usage: test/ctl_man.sh BUILD
 . "$(dirname "$0")/ctl_lib.bash"
 page1=$root/man/siskinctl.1.md page5=$root/man/siskin-config.5.md
 bad=0
 
-need() {                # WORD PAGE
+require_documented() {  # WORD PAGE
     grep -qF -e "$1" "$2" && return
     echo "$(basename "$2") doesn't tell $1"
     bad=1
 }
 
 for c in $("$b/siskinctl" --help | sed -n 's/^  \([a-z]*\)  .*/\1/p'); do
-    need "**$c**" "$page1"
+    require_documented "**$c**" "$page1"
     for o in $("$b/siskinctl" "$c" --help | grep -oE '^ +(-., )?--[a-z-]+' |
         grep -oE -e '--[a-z-]+' | grep -v -e --help); do
-        need "$o" "$page1"
+        require_documented "$o" "$page1"
     done
 done
 
-# What a message of an unknown key expects are the keys that there are.
-keys() {                # FILE...
+# Lists the valid keys, taken from the error message for an unknown key.
+valid_keys() {          # FILE...
     "$b/siskinctl" check "$@" 2>&1 | sed -n 's/.*unknown key.*expected //p' |
         tr -d ,
 }
@@ -31,16 +32,16 @@
 "$b/siskinctl" check base over || bad=1
 for at in '[service.dohled]' '[site]'; do
     sed "s/^${at//[\[\]]/.}/&\nwrong = 1/" base >wrong
-    for k in $(keys wrong over); do
-        need "\`$k\`" "$page5"
+    for k in $(valid_keys wrong over); do
+        require_documented "\`$k\`" "$page5"
     done
 done
 sed 's/^\[\[upstream\]\]/&\nwrong = 1/' over >wrong
-for k in $(keys base wrong); do
-    need "\`$k\`" "$page5"
+for k in $(valid_keys base wrong); do
+    require_documented "\`$k\`" "$page5"
 done
 echo 'wrong = 1' >wrong
-for k in $(keys --settings wrong); do
-    [ "$k" = peer ] || need "\`$k\`" "$page5"
+for k in $(valid_keys --settings wrong); do
+    [ "$k" = peer ] || require_documented "\`$k\`" "$page5"
 done
 exit $bad
--- a/test/ctl_test.cc
+++ b/test/ctl_test.cc
@@ -1,4 +1,5 @@
-// siskinctl against an instance's admin port, which a canned server plays.
+// Tests siskinctl against a server with canned replies in place of the admin
+// port of an instance.
 #include "standin/rest.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
         self->seen += std::string(r->method) + " " + r->path + "\n";
         return {self->answer, json_loads(status, 0, NULL)};
     }
-    // The output of a command; its exit code goes to CODE.
+    // Returns the output of a command and sets code to the exit code.
     std::string
     run(const std::string &command)
     {
@@ -95,8 +96,8 @@
     EXPECT_EQ(1, code);
 }
 
-// The instance takes the drain and its answer is lost: neither "done" nor
-// "not done" would be true.
+// When the reply to a drain is lost, the instance may have acted on it, so the
+// outcome must be reported as unknown and not as done or failed.
 TEST_F(Ctl, LostAnswerToADrainIsUnknown)
 {
     answer = 0;
--- a/test/ctl_usage.sh
+++ b/test/ctl_usage.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The command line: help, wrong usage, an instance out of reach; the sample
-# deployments check.  usage: test/ctl_usage.sh BUILD
+# Tests the command line: help, wrong usage, an unreachable instance, and the
+# check of the example deployments.  usage: test/ctl_usage.sh BUILD
 . "$(dirname "$0")/ctl_lib.bash"
 
 run() {
