--- a/siskinctl/explain.c
+++ b/siskinctl/explain.c
@@ -93,8 +93,9 @@
     }
 }
 
-/* Reports whether X may explain a decision: a line near the selected ones,
- * from one of their instances, that is not about another flow or upstream. */
+/* Reports whether X may explain a decision: a line near the selected ones in
+ * time, from one of their instances, about the state of the instance or of a
+ * traced upstream. */
 static bool
 is_context(const trace_t *t, const log_entry_t *x)
 {
--- a/siskinctl/report.c
+++ b/siskinctl/report.c
@@ -87,8 +87,8 @@
     }
 }
 
-/* The first version after a start is not counted: it may be an old one, and
- * says nothing about how fast versions spread. */
+/* The first version after a start is left out of the spread: the instance may
+ * receive an old version long after others did, which would distort it. */
 static void
 count_version(report_t *r, const log_entry_t *x)
 {
--- a/siskinctl/version.c
+++ b/siskinctl/version.c
@@ -9,8 +9,7 @@
 #include <unistd.h>
 
 #define WATCH_TIMEOUT_MS 30000
-#define RETRY_INTERVAL_S 1 /* after an error or a wait without a new version  \
-                            */
+#define RETRY_INTERVAL_S 1 /* after a failed or empty wait */
 
 /* ---- check ---- */
 
--- a/test/ctl_lib.bash
+++ b/test/ctl_lib.bash
@@ -1,5 +1,5 @@
-# Functions shared by the scripted tests of siskinctl: starts a platform, prints
-# commands with their output and exit code, and compares the result with the
+# Functions shared by the scripted tests of siskinctl: start a platform, print
+# commands with their output and exit code, and compare the result with the
 # expected output.  Sourced with the build directory as $1.
 set -u
 b=$(realpath "$1")
--- a/test/ctl_logs.sh
+++ b/test/ctl_logs.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Tests siskinctl explain and report on instances' logs: the trace of a request,
-# a flow and an upstream, the summary of a period, and plots.  Lines of other
-# programs are skipped, as is a host name that a log collector put in front.
+# Tests siskinctl explain and report on instances' logs: the trace of a
+# request, a flow and an upstream, the summary of a period, and plots.  Lines of
+# other programs are skipped, as is a host name put in front by a log collector.
 # usage: test/ctl_logs.sh BUILD
 . "$(dirname "$0")/ctl_lib.bash"
 
