--- a/base/base.c
+++ b/base/base.c
@@ -37,20 +37,20 @@
 void *
 array_grow(void *array, size_t *cap, size_t need, size_t size)
 {
-    size_t more = *cap > 0 ? *cap : ARRAY_MIN;
-    void *grown;
+    size_t new_cap = *cap > 0 ? *cap : ARRAY_MIN;
+    void *resized;
 
-    while (more < need) {
-        more *= 2;
+    while (new_cap < need) {
+        new_cap *= 2;
     }
-    if (more == *cap) {
+    if (new_cap == *cap) {
         return array;
     }
-    grown = realloc(array, more * size);
-    if (grown != NULL) {
-        *cap = more;
+    resized = realloc(array, new_cap * size);
+    if (resized != NULL) {
+        *cap = new_cap;
     }
-    return grown;
+    return resized;
 }
 
 int
@@ -169,12 +169,12 @@
 uint64_t
 hist_quantile(const hist_t *h, double q)
 {
-    uint64_t want = (uint64_t)(q * (double)h->count);
+    uint64_t rank = (uint64_t)(q * (double)h->count);
     uint64_t seen = 0;
 
     for (int i = 0; i < HIST_SLOTS; i++) {
         seen += h->slot[i];
-        if (seen > want || (seen == h->count && seen > 0)) {
+        if (seen > rank || (seen == h->count && seen > 0)) {
             return hist_bound(i);
         }
     }
--- a/base/log.c
+++ b/base/log.c
@@ -22,9 +22,9 @@
 #define BUFFER_BYTES (64 * 1024)
 /* The writer rests so long between two writes: one system call and one
  * wake-up for all lines of that time. */
-#define REST_MS 100
+#define WRITE_INTERVAL_MS 100
 /* At the end, for a reader that does not read. */
-#define CLOSE_WAIT_MS 300
+#define CLOSE_TIMEOUT_MS 300
 
 static log4c_category_t *category;
 static char prog[64] = "siskin";
@@ -33,12 +33,12 @@
 static struct {
     pthread_t thread;
     pthread_mutex_t lock;
-    pthread_cond_t filled, written;
+    pthread_cond_t not_empty, finished;
     int fd;
     bool running, stopping;
     size_t len;
-    uint64_t left_out; /* lines, since the last write */
-    uint64_t left_out_total;
+    uint64_t dropped; /* lines, since the last write */
+    uint64_t dropped_total;
     char buffer[BUFFER_BYTES];
 } writer = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
@@ -78,13 +78,13 @@
 
     pthread_mutex_lock(&writer.lock);
     if (len > sizeof(writer.buffer) - writer.len) {
-        writer.left_out++;
-        writer.left_out_total++;
+        writer.dropped++;
+        writer.dropped_total++;
     }
     else {
         memcpy(writer.buffer + writer.len, line, len);
         if (writer.len == 0) {
-            pthread_cond_signal(&writer.filled);
+            pthread_cond_signal(&writer.not_empty);
         }
         writer.len += len;
     }
@@ -119,7 +119,7 @@
 }
 
 static void
-rest(ms_t ms)
+sleep_ms(ms_t ms)
 {
     struct timespec ts = {.tv_sec = ms / 1000, .tv_nsec = ms % 1000 * 1000000};
 
@@ -131,32 +131,32 @@
 {
     static char out[BUFFER_BYTES];
     size_t len;
-    uint64_t left_out;
+    uint64_t dropped;
 
     (void)arg;
     pthread_mutex_lock(&writer.lock);
     while (writer.len > 0 || !writer.stopping) {
         if (writer.len == 0) {
-            pthread_cond_wait(&writer.filled, &writer.lock);
+            pthread_cond_wait(&writer.not_empty, &writer.lock);
             continue;
         }
         len = writer.len;
-        left_out = writer.left_out;
+        dropped = writer.dropped;
         memcpy(out, writer.buffer, len);
         writer.len = 0;
-        writer.left_out = 0;
+        writer.dropped = 0;
         pthread_mutex_unlock(&writer.lock);
         write_all(out, len);
-        if (left_out > 0) {
+        if (dropped > 0) {
             log_line(LVL_WARN, "log", "Lines were left out. count=%llu",
-                     (unsigned long long)left_out);
+                     (unsigned long long)dropped);
         }
         if (!__atomic_load_n(&writer.stopping, __ATOMIC_RELAXED)) {
-            rest(REST_MS);
+            sleep_ms(WRITE_INTERVAL_MS);
         }
         pthread_mutex_lock(&writer.lock);
     }
-    pthread_cond_signal(&writer.written);
+    pthread_cond_signal(&writer.finished);
     writer.running = false;
     pthread_mutex_unlock(&writer.lock);
     return NULL;
@@ -166,13 +166,13 @@
 log_start_writer(int fd)
 {
     pthread_condattr_t attr;
-    sigset_t all, before;
+    sigset_t all, saved;
     int rc;
 
     pthread_condattr_init(&attr);
     pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-    pthread_cond_init(&writer.filled, &attr);
-    pthread_cond_init(&writer.written, &attr);
+    pthread_cond_init(&writer.not_empty, &attr);
+    pthread_cond_init(&writer.finished, &attr);
     pthread_condattr_destroy(&attr);
     writer.fd = fd;
     writer.stopping = false;
@@ -180,9 +180,9 @@
     /* The thread takes no signal: one meant for the program's own handling
      * would end the process if it came here. */
     sigfillset(&all);
-    pthread_sigmask(SIG_SETMASK, &all, &before);
+    pthread_sigmask(SIG_SETMASK, &all, &saved);
     rc = pthread_create(&writer.thread, NULL, write_lines, NULL);
-    pthread_sigmask(SIG_SETMASK, &before, NULL);
+    pthread_sigmask(SIG_SETMASK, &saved, NULL);
     if (rc != 0) {
         writer.running = false;
         return -rc;
@@ -198,14 +198,14 @@
     struct timespec ts;
 
     clock_gettime(CLOCK_MONOTONIC, &ts);
-    ts.tv_nsec += CLOSE_WAIT_MS * 1000000L;
+    ts.tv_nsec += CLOSE_TIMEOUT_MS * 1000000L;
     ts.tv_sec += ts.tv_nsec / 1000000000L;
     ts.tv_nsec %= 1000000000L;
     pthread_mutex_lock(&writer.lock);
     __atomic_store_n(&writer.stopping, true, __ATOMIC_RELAXED);
-    pthread_cond_signal(&writer.filled);
+    pthread_cond_signal(&writer.not_empty);
     while (writer.running &&
-           pthread_cond_timedwait(&writer.written, &writer.lock, &ts) == 0) {
+           pthread_cond_timedwait(&writer.finished, &writer.lock, &ts) == 0) {
     }
     pthread_mutex_unlock(&writer.lock);
 }
@@ -216,7 +216,7 @@
     uint64_t n;
 
     pthread_mutex_lock(&writer.lock);
-    n = writer.left_out_total;
+    n = writer.dropped_total;
     pthread_mutex_unlock(&writer.lock);
     return n;
 }
--- a/kern/duty.c
+++ b/kern/duty.c
@@ -16,7 +16,7 @@
     AWAKE,
     ASLEEP_POLL, /* in poll() or the like, by wake_fd */
     ASLEEP_FUTEX /* on its inbox alone: one system call in place of three */
-} sleep_t;
+} sleep_mode_t;
 
 struct duty {
     kern_t *kern;
@@ -24,10 +24,10 @@
     char name[DUTY_NAME_LEN];
     pthread_t thread;
     bool started;
-    bool stopping;   /* atomic */
-    uint32_t asleep; /* atomic, sleep_t; also a futex */
-    bool woken;      /* wake_fd was or will be written: read it */
-    uint64_t full;   /* atomic; any sender adds */
+    bool stopping;     /* atomic */
+    uint32_t asleep;   /* atomic, sleep_mode_t; also a futex */
+    bool wake_pending; /* wake_fd was or will be written: read it */
+    uint64_t refused;  /* atomic; any sender adds */
     int wake_fd;
     ck_ring_t ring;
     ck_ring_buffer_t *slots;
@@ -105,12 +105,12 @@
 }
 
 int
-duty_join(duty_t *d, const struct timespec *until)
+duty_join(duty_t *d, const struct timespec *deadline)
 {
     if (!d->started) {
         return 0;
     }
-    if (pthread_timedjoin_np(d->thread, NULL, until) != 0) {
+    if (pthread_timedjoin_np(d->thread, NULL, deadline) != 0) {
         return -ETIMEDOUT;
     }
     d->started = false;
@@ -138,12 +138,12 @@
 int
 duty_put(duty_t *d, void *msg)
 {
-    bool done = d->spec.one_sender
-                    ? ck_ring_enqueue_spsc(&d->ring, d->slots, msg)
-                    : ck_ring_enqueue_mpsc(&d->ring, d->slots, msg);
+    bool queued = d->spec.one_sender
+                      ? ck_ring_enqueue_spsc(&d->ring, d->slots, msg)
+                      : ck_ring_enqueue_mpsc(&d->ring, d->slots, msg);
 
-    if (!done) {
-        __atomic_add_fetch(&d->full, 1, __ATOMIC_RELAXED);
+    if (!queued) {
+        __atomic_add_fetch(&d->refused, 1, __ATOMIC_RELAXED);
         return -EAGAIN;
     }
     return 0;
@@ -161,8 +161,8 @@
 
 /* A sender that sees "awake" just before the owner falls asleep would leave
  * its message lying until the next event.  The fence here and the one in
- * fall_asleep() order "put, then look" against "say asleep, then look", so at
- * least one side sees the other. */
+ * prepare_sleep() order "put, then look" against "say asleep, then look", so
+ * at least one side sees the other. */
 void
 duty_wake(duty_t *d)
 {
@@ -172,8 +172,8 @@
     if (__atomic_load_n(&d->asleep, __ATOMIC_RELAXED) == AWAKE) {
         return;
     }
-    switch (
-        (sleep_t)__atomic_exchange_n(&d->asleep, AWAKE, __ATOMIC_SEQ_CST)) {
+    switch ((sleep_mode_t)__atomic_exchange_n(&d->asleep, AWAKE,
+                                              __ATOMIC_SEQ_CST)) {
     case AWAKE:
         return; /* another sender woke it */
     case ASLEEP_FUTEX:
@@ -215,7 +215,7 @@
 
 /* True when there is nothing to do. */
 static bool
-fall_asleep(duty_t *d, sleep_t how)
+prepare_sleep(duty_t *d, sleep_mode_t how)
 {
     __atomic_store_n(&d->asleep, how, __ATOMIC_SEQ_CST);
     __atomic_thread_fence(__ATOMIC_SEQ_CST);
@@ -225,7 +225,7 @@
 bool
 duty_sleep(duty_t *d)
 {
-    return fall_asleep(d, ASLEEP_POLL);
+    return prepare_sleep(d, ASLEEP_POLL);
 }
 
 void
@@ -234,12 +234,12 @@
     uint64_t n;
 
     if (__atomic_exchange_n(&d->asleep, AWAKE, __ATOMIC_SEQ_CST) == AWAKE) {
-        d->woken = true;
+        d->wake_pending = true;
     }
     /* The waker may not have written yet: then the descriptor becomes readable
      * in a later sleep, and is read then. */
-    if (d->woken && read(d->wake_fd, &n, sizeof(n)) > 0) {
-        d->woken = false;
+    if (d->wake_pending && read(d->wake_fd, &n, sizeof(n)) > 0) {
+        d->wake_pending = false;
     }
 }
 
@@ -247,7 +247,7 @@
 duty_wait(duty_t *d, struct pollfd *fds, size_t n, ms_t wait_ms)
 {
     if (fds == NULL) {
-        if (fall_asleep(d, ASLEEP_FUTEX)) {
+        if (prepare_sleep(d, ASLEEP_FUTEX)) {
             futex_wait(&d->asleep, ASLEEP_FUTEX, wait_ms);
         }
         __atomic_store_n(&d->asleep, AWAKE, __ATOMIC_SEQ_CST);
@@ -279,5 +279,5 @@
 uint64_t
 duty_full(const duty_t *d)
 {
-    return counter_read(&d->full);
+    return counter_read(&d->refused);
 }
--- a/kern/kern.c
+++ b/kern/kern.c
@@ -74,21 +74,21 @@
 int
 kern_stop(kern_t *k, ms_t wait_ms)
 {
-    struct timespec until;
+    struct timespec deadline;
     int rc = 0;
 
     for (size_t i = 0; i < k->n; i++) {
         duty_stop(k->duty[i]);
     }
-    clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += wait_ms / 1000;
-    until.tv_nsec += wait_ms % 1000 * 1000000;
-    if (until.tv_nsec >= 1000000000) {
-        until.tv_sec++;
-        until.tv_nsec -= 1000000000;
+    clock_gettime(CLOCK_REALTIME, &deadline);
+    deadline.tv_sec += wait_ms / 1000;
+    deadline.tv_nsec += wait_ms % 1000 * 1000000;
+    if (deadline.tv_nsec >= 1000000000) {
+        deadline.tv_sec++;
+        deadline.tv_nsec -= 1000000000;
     }
     for (size_t i = 0; i < k->n; i++) {
-        if (duty_join(k->duty[i], &until) < 0) {
+        if (duty_join(k->duty[i], &deadline) < 0) {
             rc = -ETIMEDOUT;
         }
     }
--- a/kern/pool.c
+++ b/kern/pool.c
@@ -6,9 +6,9 @@
 
 /* The slot given back last is taken next: it is still in a cache. */
 struct pool {
-    ck_ring_t ring; /* slots given back */
-    ck_ring_buffer_t *slots;
-    void **stack; /* the taker's own: free slots */
+    ck_ring_t returned; /* slots given back */
+    ck_ring_buffer_t *ring_buffer;
+    void **free_slots; /* the taker's own: free slots */
     unsigned n;
     char *memory;
 };
@@ -17,25 +17,25 @@
 pool_new(unsigned n, size_t size)
 {
     pool_t *p = calloc(1, sizeof(*p));
-    unsigned ring = 4;
+    unsigned ring_size = 4;
 
     if (p == NULL) {
         return NULL;
     }
     size = (size + 63) & ~(size_t)63; /* no two slots share a cache line */
-    while (ring <= n) {
-        ring *= 2;
+    while (ring_size <= n) {
+        ring_size *= 2;
     }
-    p->slots = calloc(ring, sizeof(*p->slots));
-    p->stack = calloc(n, sizeof(*p->stack));
+    p->ring_buffer = calloc(ring_size, sizeof(*p->ring_buffer));
+    p->free_slots = calloc(n, sizeof(*p->free_slots));
     p->memory = calloc(n, size);
-    if (p->slots == NULL || p->stack == NULL || p->memory == NULL) {
+    if (p->ring_buffer == NULL || p->free_slots == NULL || p->memory == NULL) {
         pool_free(p);
         return NULL;
     }
-    ck_ring_init(&p->ring, ring);
+    ck_ring_init(&p->returned, ring_size);
     for (unsigned i = 0; i < n; i++) {
-        p->stack[p->n++] = p->memory + i * size;
+        p->free_slots[p->n++] = p->memory + i * size;
     }
     return p;
 }
@@ -46,8 +46,8 @@
     if (p == NULL) {
         return;
     }
-    free(p->slots);
-    free(p->stack);
+    free(p->ring_buffer);
+    free(p->free_slots);
     free(p->memory);
     free(p);
 }
@@ -57,14 +57,14 @@
 {
     void *slot;
 
-    while (ck_ring_dequeue_mpsc(&p->ring, p->slots, &slot)) {
-        p->stack[p->n++] = slot;
+    while (ck_ring_dequeue_mpsc(&p->returned, p->ring_buffer, &slot)) {
+        p->free_slots[p->n++] = slot;
     }
-    return p->n > 0 ? p->stack[--p->n] : NULL;
+    return p->n > 0 ? p->free_slots[--p->n] : NULL;
 }
 
 void
 pool_put(pool_t *p, void *slot)
 {
-    ck_ring_enqueue_mpsc(&p->ring, p->slots, slot);
+    ck_ring_enqueue_mpsc(&p->returned, p->ring_buffer, slot);
 }
--- a/kern/reply.c
+++ b/kern/reply.c
@@ -29,10 +29,10 @@
 bool
 http_request_whole(size_t *body_len, void **state)
 {
-    static int seen;
+    static int headers_seen;
 
     if (*state == NULL) {
-        *state = &seen;
+        *state = &headers_seen;
         return false;
     }
     if (*body_len > 0) {
--- a/test/kern_test.cc
+++ b/test/kern_test.cc
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(Kern, NoWakeUpIsLost)
+TEST(Kern, WakeUpsAreNotLost)
 {
     kern_t *k = kern_new();
     echo_t a = {"b", 50000, true}, b = {"main", 50000, false};
@@ -130,7 +130,7 @@
     }
 }
 
-TEST(Kern, ManySendersLoseAndRepeatNothing)
+TEST(Kern, ConcurrentSendersKeepOrderWithoutLoss)
 {
     const uint64_t n = 20000;
     kern_t *k = kern_new();
@@ -203,7 +203,7 @@
     sem_destroy(&gate);
 }
 
-TEST(Pool, EachSlotOnceThenNone)
+TEST(Pool, SlotsAreDistinctUntilExhausted)
 {
     pool_t *p = pool_new(5, 100);
     std::set<void *> got;
@@ -221,7 +221,7 @@
 
 // A datagram lies in the socket while nobody reads: its age tells for how
 // long.  One whose stamp is later than the clock, which stepped back, is new.
-TEST(Udp, ADatagramTellsHowLongItWaited)
+TEST(Udp, AgeIsTimeInSocketBuffer)
 {
     addr_t a = {};
     err_t e = {};
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -82,7 +82,7 @@
     }
 }
 
-RC_GTEST_PROP(Coap, NoBytesBreakTheReader, (std::vector<uint8_t> b))
+RC_GTEST_PROP(Coap, ArbitraryBytesAreHandled, (std::vector<uint8_t> b))
 {
     coap_msg_t m;
     int rc = coap_decode(&m, b.data(), b.size());
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(Peer, SteerAndSyncRoundTrip)
+TEST(Peer, ForwardAndSyncRoundTrip)
 {
     uint8_t b[PEER_MSG_MAX];
     peer_msg_t m = {}, r;
@@ -144,7 +144,7 @@
     EXPECT_EQ(-EBADMSG, peer_read(&r, b, (size_t)n, key));
 }
 
-RC_GTEST_PROP(Peer, NoBytesBreakTheReader, (std::vector<uint8_t> b))
+RC_GTEST_PROP(Peer, ArbitraryBytesAreHandled, (std::vector<uint8_t> b))
 {
     peer_msg_t m;
     int rc = peer_read(&m, b.data(), b.size(), key);
--- a/wire/coap.c
+++ b/wire/coap.c
@@ -19,7 +19,7 @@
 }
 
 static void
-scratch_start(void)
+scratch_init(void)
 {
     coap_set_log_level(LOG_EMERG);
     pthread_key_create(&scratch_key, scratch_free);
@@ -29,7 +29,7 @@
 scratch_pdu(void)
 {
     if (scratch == NULL) {
-        pthread_once(&scratch_once, scratch_start);
+        pthread_once(&scratch_once, scratch_init);
         scratch = coap_pdu_init(0, 0, 0, DATAGRAM_MAX);
         pthread_setspecific(scratch_key, scratch);
     }
@@ -128,22 +128,22 @@
 typedef struct {
     uint8_t *p, *end;
     uint16_t last;
-    bool full;
+    bool overflow;
 } writer_t;
 
 static void
 put_option(writer_t *w, uint16_t number, const void *val, size_t len)
 {
-    size_t room = (size_t)(w->end - w->p);
+    size_t space = (size_t)(w->end - w->p);
     uint16_t delta = (uint16_t)(number - w->last);
     size_t n;
 
-    if (w->full || coap_opt_encode_size(delta, len) > room) {
-        w->full = true;
+    if (w->overflow || coap_opt_encode_size(delta, len) > space) {
+        w->overflow = true;
         return;
     }
-    n = coap_opt_encode(w->p, room, delta, val, len);
-    w->full = n == 0;
+    n = coap_opt_encode(w->p, space, delta, val, len);
+    w->overflow = n == 0;
     w->p += n;
     w->last = number;
 }
@@ -183,7 +183,7 @@
     }
     put_uint(&w, COAP_OPTION_BLOCK2, m->block2);
     put_uint(&w, COAP_OPTION_BLOCK1, m->block1);
-    if (w.full) {
+    if (w.overflow) {
         return -ENOSPC;
     }
     if (m->payload_len > 0) {
--- a/wire/peer.c
+++ b/wire/peer.c
@@ -13,12 +13,12 @@
 typedef struct {
     uint8_t *p;
     size_t len, cap;
-} sink_t;
+} pack_buffer_t;
 
 static int
-sink_write(void *data, const char *buf, size_t len)
+pack_buffer_write(void *data, const char *buf, size_t len)
 {
-    sink_t *s = data;
+    pack_buffer_t *s = data;
 
     if (s->cap - s->len < len) {
         return -1;
@@ -86,22 +86,22 @@
 peer_write(uint8_t *out, size_t cap, const peer_msg_t *m,
            const uint8_t key[PEER_KEY_LEN])
 {
-    sink_t sink = {.p = out, .cap = cap};
+    pack_buffer_t buf = {.p = out, .cap = cap};
     msgpack_packer pk;
 
     if (cap < TAG_LEN) {
         return -ENOSPC;
     }
-    sink.cap -= TAG_LEN;
-    msgpack_packer_init(&pk, &sink, sink_write);
+    buf.cap -= TAG_LEN;
+    msgpack_packer_init(&pk, &buf, pack_buffer_write);
     if (msgpack_pack_uint8(&pk, PEER_VERSION) |
         msgpack_pack_uint8(&pk, (uint8_t)m->kind) |
         msgpack_pack_uint64(&pk, m->from) | pack_body(&pk, m)) {
         return -ENOSPC;
     }
-    crypto_generichash(out + sink.len, TAG_LEN, out, sink.len, key,
+    crypto_generichash(out + buf.len, TAG_LEN, out, buf.len, key,
                        PEER_KEY_LEN);
-    return (int)(sink.len + TAG_LEN);
+    return (int)(buf.len + TAG_LEN);
 }
 
 /* Reads one msgpack object after another; BAD stays set after an error. */
@@ -110,10 +110,10 @@
     size_t len, off;
     msgpack_unpacked u;
     bool bad;
-} source_t;
+} unpacker_t;
 
 static const msgpack_object *
-next(source_t *s, msgpack_object_type want)
+next(unpacker_t *s, msgpack_object_type want)
 {
     static const msgpack_object nil = {.type = MSGPACK_OBJECT_NIL};
 
@@ -128,7 +128,7 @@
 }
 
 static uint64_t
-next_uint(source_t *s, uint64_t max)
+next_uint(unpacker_t *s, uint64_t max)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
@@ -140,7 +140,7 @@
 }
 
 static const uint8_t *
-next_bin(source_t *s, size_t *len)
+next_bin(unpacker_t *s, size_t *len)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_BIN);
 
@@ -153,7 +153,7 @@
 }
 
 static void
-next_addr(source_t *s, addr_t *a)
+next_addr(unpacker_t *s, addr_t *a)
 {
     size_t n;
     const uint8_t *ip = next_bin(s, &n);
@@ -186,7 +186,7 @@
 }
 
 static void
-read_pins(source_t *s, peer_msg_t *m)
+read_pins(unpacker_t *s, peer_msg_t *m)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_ARRAY);
 
@@ -203,7 +203,7 @@
 }
 
 static void
-read_body(source_t *s, peer_msg_t *m)
+read_body(unpacker_t *s, peer_msg_t *m)
 {
     switch (m->kind) {
     case PEER_MEMBER:
@@ -234,7 +234,7 @@
           const uint8_t key[PEER_KEY_LEN])
 {
     uint8_t tag[TAG_LEN];
-    source_t s = {.p = (const char *)data};
+    unpacker_t s = {.p = (const char *)data};
 
     if (len <= TAG_LEN) {
         return -EBADMSG;
