--- a/base/addr.c
+++ b/base/addr.c
@@ -1,4 +1,4 @@
-/* Addresses: text, kernel form, comparison. */
+/* Addresses: text form, socket address, comparison. */
 #include "base/base.h"
 
 #include <arpa/inet.h>
--- a/base/base.c
+++ b/base/base.c
@@ -1,4 +1,4 @@
-/* Time, errors, hashing, random numbers and histograms. */
+/* Time, arrays, errors, hashing, random numbers and histograms. */
 #include "base/base.h"
 
 #include <stdio.h>
@@ -97,7 +97,7 @@
     return (uint32_t)(((rng_next(r) >> 32) * n) >> 32);
 }
 
-/* Values 0 to 3 have a slot each; then 4 slots for each power of two. */
+/* Values 0 to 3 have a bucket each; above, each power of two has 4 buckets. */
 static int
 hist_slot(uint64_t v)
 {
@@ -139,7 +139,7 @@
             (unsigned long long)n);
 }
 
-/* Bounds shown: one a power of two, to 2^18. */
+/* Exported bounds: one for each power of two, up to 2^18. */
 #define BOUND_STEP 4
 #define BOUND_LAST 71
 
--- a/base/bytes.h
+++ b/base/bytes.h
@@ -1,4 +1,4 @@
-/* bytes: numbers in network byte order, at any alignment. */
+/* bytes: loads and stores of unaligned integers in network byte order. */
 #ifndef SISKIN_BYTES_H
 #define SISKIN_BYTES_H
 
--- a/base/log.c
+++ b/base/log.c
@@ -1,10 +1,10 @@
-/* Logs through log4c: one category, one stream.
+/* Logging through log4c: one category, one stream.
  *
- * A tool writes each line to standard error.  A daemon has a writer: a line
- * goes into a bounded buffer, and a thread of its own writes the buffer to
- * standard output.  So a reader that has stopped, a full pipe or a slow disk
- * delays no decision: what doesn't fit is left out, counted, and the count is
- * written when there is room again. */
+ * A tool writes each line to standard error.  A daemon has a writer: lines are
+ * stored in a bounded buffer, and a separate thread writes the buffer to
+ * standard output.  This way a reader that has stopped, a full pipe or a slow
+ * disk delays no decision.  Lines that don't fit into the buffer are dropped
+ * and counted; the count is logged once there is room again. */
 #include "base/base.h"
 
 #include <errno.h>
@@ -18,18 +18,18 @@
 #include <unistd.h>
 
 #define LINE_MAX_BYTES 1024
-/* Some 500 lines: half a second at the most that a daemon writes. */
+/* About 500 lines: half a second at a daemon's highest rate. */
 #define BUFFER_BYTES (64 * 1024)
-/* The writer rests so long between two writes: one system call and one
- * wake-up for all lines of that time. */
+/* Minimum interval between two writes: batches the lines of that time into one
+ * system call and one wake-up. */
 #define WRITE_INTERVAL_MS 100
-/* At the end, for a reader that does not read. */
+/* Timeout of log_close(), in case the reader has stopped reading. */
 #define CLOSE_TIMEOUT_MS 300
 
 static log4c_category_t *category;
 static char prog[64] = "siskin";
 
-/* The writer's part; all under LOCK but THREAD and FD. */
+/* Writer state.  All fields but THREAD and FD are protected by LOCK. */
 static struct {
     pthread_t thread;
     pthread_mutex_t lock;
@@ -102,7 +102,8 @@
     return fputs(event->evt_rendered_msg, stderr) < 0 ? -EIO : 0;
 }
 
-/* A reader that has gone loses the lines; the counters remain. */
+/* Discards the data if the reader has closed the stream; the counters are
+ * kept. */
 static void
 write_all(const char *data, size_t len)
 {
@@ -177,8 +178,8 @@
     writer.fd = fd;
     writer.stopping = false;
     writer.running = true;
-    /* The thread takes no signal: one meant for the program's own handling
-     * would end the process if it came here. */
+    /* All signals are blocked in the thread: one that the program handles
+     * itself would end the process if delivered here. */
     sigfillset(&all);
     pthread_sigmask(SIG_SETMASK, &all, &saved);
     rc = pthread_create(&writer.thread, NULL, write_lines, NULL);
@@ -191,7 +192,8 @@
     return 0;
 }
 
-/* Waits for the last lines, but not for a reader that has stopped. */
+/* Waits for the last lines to be written, with a timeout in case the reader
+ * has stopped. */
 static void
 stop_writer(void)
 {
--- a/kern/duty.c
+++ b/kern/duty.c
@@ -1,4 +1,4 @@
-/* One duty: its thread, its inbox (a ck_ring) and how it sleeps. */
+/* A duty: its thread, its inbox (a ck_ring), sleep and wake-up. */
 #include "kern/duty.h"
 
 #include <ck_ring.h>
@@ -11,11 +11,11 @@
 #include <sys/syscall.h>
 #include <unistd.h>
 
-/* How a duty sleeps, and so how it is woken. */
+/* Whether and where a duty sleeps; selects the way to wake it. */
 typedef enum {
     AWAKE,
-    ASLEEP_POLL, /* in poll() or the like, by wake_fd */
-    ASLEEP_FUTEX /* on its inbox alone: one system call in place of three */
+    ASLEEP_POLL, /* in poll() or similar; woken by wake_fd */
+    ASLEEP_FUTEX /* on the inbox only: one system call instead of three */
 } sleep_mode_t;
 
 struct duty {
@@ -26,8 +26,8 @@
     bool started;
     bool stopping;     /* atomic */
     uint32_t asleep;   /* atomic, sleep_mode_t; also a futex */
-    bool wake_pending; /* wake_fd was or will be written: read it */
-    uint64_t refused;  /* atomic; any sender adds */
+    bool wake_pending; /* wake_fd was or will be written, must be read */
+    uint64_t refused;  /* atomic; incremented by any sender */
     int wake_fd;
     ck_ring_t ring;
     ck_ring_buffer_t *slots;
@@ -159,10 +159,11 @@
             wait_ms < 0 ? NULL : &ts, NULL, 0);
 }
 
-/* A sender that sees "awake" just before the owner falls asleep would leave
- * its message lying until the next event.  The fence here and the one in
- * prepare_sleep() order "put, then look" against "say asleep, then look", so
- * at least one side sees the other. */
+/* Without ordering, a sender could read AWAKE just before the duty goes to
+ * sleep, and the message would stay in the inbox until the next event.  The
+ * sender stores the message and then loads the sleep mode; prepare_sleep()
+ * stores the sleep mode and then loads the inbox depth.  The memory fences on
+ * both sides guarantee that at least one sees the other's store. */
 void
 duty_wake(duty_t *d)
 {
@@ -175,13 +176,13 @@
     switch ((sleep_mode_t)__atomic_exchange_n(&d->asleep, AWAKE,
                                               __ATOMIC_SEQ_CST)) {
     case AWAKE:
-        return; /* another sender woke it */
+        return; /* another sender woke D */
     case ASLEEP_FUTEX:
         syscall(SYS_futex, &d->asleep, FUTEX_WAKE_PRIVATE, 1, NULL, NULL, 0);
         return;
     case ASLEEP_POLL:
         if (write(d->wake_fd, &one, sizeof(one)) < 0) {
-            return; /* the counter is full: it is awake already */
+            return; /* the eventfd counter is full: a wake-up is pending */
         }
         return;
     }
@@ -213,7 +214,8 @@
     return i;
 }
 
-/* True when there is nothing to do. */
+/* Marks D as asleep.  Returns true if D may sleep: the inbox is empty and no
+ * stop was requested. */
 static bool
 prepare_sleep(duty_t *d, sleep_mode_t how)
 {
@@ -236,8 +238,8 @@
     if (__atomic_exchange_n(&d->asleep, AWAKE, __ATOMIC_SEQ_CST) == AWAKE) {
         d->wake_pending = true;
     }
-    /* The waker may not have written yet: then the descriptor becomes readable
-     * in a later sleep, and is read then. */
+    /* The waking thread may not have written to wake_fd yet.  The descriptor
+     * then becomes readable during a later sleep and is read after that. */
     if (d->wake_pending && read(d->wake_fd, &n, sizeof(n)) > 0) {
         d->wake_pending = false;
     }
--- a/kern/duty.h
+++ b/kern/duty.h
@@ -1,4 +1,4 @@
-/* What kern.c needs of a duty; not for other directories. */
+/* Duty functions for kern.c only; private to kern/. */
 #ifndef SISKIN_DUTY_H
 #define SISKIN_DUTY_H
 
--- a/kern/kern.c
+++ b/kern/kern.c
@@ -1,4 +1,4 @@
-/* The set of duties: names, threads, start and stop. */
+/* The set of duties: lookup by name, start and stop. */
 #include "kern/duty.h"
 
 #include <errno.h>
--- a/kern/kern.h
+++ b/kern/kern.h
@@ -1,10 +1,11 @@
-/* kern: the micro-kernel.  A program is a set of duties that find each other
- * by name.  A duty is one thread, one job and one bounded inbox; what it owns,
- * no other thread touches.  (These are the micro-kernel's services; they have
- * another name here, since "service" is what callers reach.)
+/* kern: the micro-kernel.  A program is a set of duties, looked up by name.
+ * A duty is one thread with one bounded inbox.  Its state is private to its
+ * thread.  (In a micro-kernel these are usually called services; here
+ * "service" means what callers reach.)
  *
- * Nothing blocks a sender: a full inbox gives -EAGAIN and counts it.  Nothing
- * allocates a packet: fixed buffers come from a pool and return to it.
+ * Sending never blocks: a full inbox returns -EAGAIN and counts the refusal.
+ * Packets are never allocated on the heap: fixed-size buffers are taken from a
+ * pool and returned to it.
  */
 #ifndef SISKIN_KERN_H
 #define SISKIN_KERN_H
@@ -23,30 +24,33 @@
 typedef struct kern kern_t;
 typedef struct duty duty_t;
 
-/* The duty's job: returns once duty_stopping() is true. */
+/* The thread's main function; must return once duty_stopping() is true. */
 typedef void duty_run_t(duty_t *self, void *arg);
 
 typedef struct {
     const char *name;
-    duty_run_t *run; /* NULL: the caller's own thread does the job */
+    duty_run_t *run; /* NULL: runs on the caller's own thread */
     void *arg;
-    unsigned inbox;          /* messages it holds, a power of two >= 4 */
-    bool one_sender;         /* only one thread ever sends to it */
-    void (*drop)(void *msg); /* frees what is left in the inbox at the end */
+    unsigned inbox;          /* ring size, a power of two >= 4 */
+    bool one_sender;         /* single producer: uses the SPSC ring */
+    void (*drop)(void *msg); /* frees a message left in the inbox */
 } duty_spec_t;
 
 kern_t *kern_new(void);
-/* Stops nothing: call kern_stop() first.  Left messages are dropped. */
+/* Doesn't stop the duties: call kern_stop() first.  Passes messages left in
+ * the inboxes to drop(). */
 void kern_free(kern_t *k);
 
-/* Registers a duty.  -EEXIST: the name is taken; -ENOSPC: too many. */
+/* Registers a duty.  -EEXIST: the name is in use; -ENOSPC: DUTIES_MAX
+ * duties exist. */
 int kern_add(kern_t *k, const duty_spec_t *spec);
-/* The duty of that name, or NULL. */
+/* Returns NULL if there is no duty of that name. */
 duty_t *kern_find(const kern_t *k, const char *name);
 /* Starts a thread for each duty, in the order of kern_add(). */
 int kern_start(kern_t *k);
-/* Asks all duties to stop and waits WAIT_MS for them.  -ETIMEDOUT: one is
- * still in a call that blocks; the kernel must not be freed then. */
+/* Requests all duties to stop and joins them, with a timeout of WAIT_MS for
+ * all together.  -ETIMEDOUT: a duty is still in a blocking call; K must not be
+ * freed then. */
 int kern_stop(kern_t *k, ms_t wait_ms);
 
 kern_t *duty_kern(const duty_t *d);
@@ -55,57 +59,62 @@
 
 /* ---- Messages ---- */
 
-/* Puts MSG into D's inbox without waking it.  -EAGAIN: full; MSG stays the
- * sender's. */
+/* Enqueues MSG to D without waking D.  -EAGAIN: the inbox is full; the sender
+ * keeps ownership of MSG. */
 int duty_put(duty_t *d, void *msg);
-/* Wakes D if it sleeps: once after a batch of duty_put(). */
+/* Wakes D if it sleeps.  Call this once after a batch of duty_put(). */
 void duty_wake(duty_t *d);
 /* duty_put() and duty_wake(). */
 int duty_post(duty_t *d, void *msg);
-/* Takes up to N messages, without waiting.  Only D itself calls this. */
+/* Dequeues up to N messages without waiting.  Call this from D's thread only.
+ */
 size_t duty_take(duty_t *d, void **out, size_t n);
-/* Sleeps until a message, a stop or an event on FDS, at most WAIT_MS
- * (negative: for ever).  FDS may be NULL; else FDS[0] is filled in here, and
- * callers use FDS[1] to FDS[N-1]. */
+/* Sleeps until a message, a stop request, an event on FDS or the timeout of
+ * WAIT_MS (negative: none).  FDS may be NULL; otherwise FDS[0] is reserved for
+ * the wake-up descriptor, and callers use FDS[1] to FDS[N-1]. */
 void duty_wait(duty_t *d, struct pollfd *fds, size_t n, ms_t wait_ms);
 
-/* The same in parts, for a duty that sleeps in another call, such as
- * epoll_wait() or zmq_poll(), which must watch duty_fd().  False: there is a
- * message or a stop, so don't sleep.  duty_awake() must follow either way. */
+/* The two halves of duty_wait(), for a duty that sleeps in another call, such
+ * as epoll_wait() or zmq_poll(), which must watch duty_fd().  duty_sleep()
+ * marks D as asleep; it returns false if a message or a stop request is
+ * pending, and D must not sleep then.  duty_awake() must follow in both
+ * cases. */
 bool duty_sleep(duty_t *d);
 void duty_awake(duty_t *d);
 int duty_fd(const duty_t *d);
 
 unsigned duty_depth(const duty_t *d);
 unsigned duty_capacity(const duty_t *d);
-/* Messages refused because the inbox was full. */
+/* Number of messages refused because the inbox was full. */
 uint64_t duty_full(const duty_t *d);
 
 /* ---- Buffers ---- */
 
-/* Slots of one size.  One thread takes them; any gives them back. */
+/* A pool of fixed-size slots.  Only one thread may call pool_get(); any thread
+ * may call pool_put(). */
 typedef struct pool pool_t;
 
 pool_t *pool_new(unsigned n, size_t size);
 void pool_free(pool_t *p);
-void *pool_get(pool_t *p); /* NULL: none left */
+void *pool_get(pool_t *p); /* NULL: the pool is empty */
 void pool_put(pool_t *p, void *slot);
 
 /* ---- Sockets ---- */
 
-/* A bound, non-blocking UDP socket that stamps what it receives.  A negative
- * error number with E. */
+/* Opens and binds a non-blocking UDP socket with receive timestamps
+ * (SO_TIMESTAMPNS).  Returns the descriptor, or a negative errno with E set.
+ */
 int udp_open(const addr_t *a, err_t *e);
 
-/* Room for the stamp of a received datagram, as msg_control. */
+/* Size of the msg_control buffer for a receive timestamp. */
 #define UDP_STAMP_LEN CMSG_SPACE(sizeof(struct timespec))
 
-/* How long a datagram that was received with room for its stamp had waited at
- * NOW, by clock_wall().  A step of the clock meanwhile shows in it; never
- * negative. */
+/* The time from the arrival of a datagram to NOW (clock_wall()), from the
+ * receive timestamp in H.  0 without a timestamp, and never negative.  A step
+ * of the wall clock in between distorts the result. */
 ms_t udp_age(struct msghdr *h, ms_t now);
 
-/* ---- Counters: one thread adds, any thread reads ---- */
+/* ---- Counters: one writing thread, any number of readers ---- */
 
 static inline void
 counter_set(uint64_t *c, uint64_t n)
--- a/kern/pool.c
+++ b/kern/pool.c
@@ -1,14 +1,14 @@
-/* Fixed-size buffers that pass between threads. */
+/* Fixed-size buffers that are passed between threads. */
 #include "kern/kern.h"
 
 #include <ck_ring.h>
 #include <stdlib.h>
 
-/* The slot given back last is taken next: it is still in a cache. */
+/* LIFO: the slot returned last is reused first, while it is still cached. */
 struct pool {
-    ck_ring_t returned; /* slots given back */
+    ck_ring_t returned; /* slots returned by any thread */
     ck_ring_buffer_t *ring_buffer;
-    void **free_slots; /* the taker's own: free slots */
+    void **free_slots; /* stack, private to the thread of pool_get() */
     unsigned n;
     char *memory;
 };
@@ -22,7 +22,7 @@
     if (p == NULL) {
         return NULL;
     }
-    size = (size + 63) & ~(size_t)63; /* no two slots share a cache line */
+    size = (size + 63) & ~(size_t)63; /* avoids false sharing of cache lines */
     while (ring_size <= n) {
         ring_size *= 2;
     }
--- a/kern/reply.c
+++ b/kern/reply.c
@@ -1,4 +1,4 @@
-/* Answers of the HTTP listeners. */
+/* Responses of the HTTP listeners. */
 #include "kern/reply.h"
 
 #include <stdlib.h>
--- a/kern/reply.h
+++ b/kern/reply.h
@@ -1,4 +1,4 @@
-/* reply: answers of the HTTP listeners (libmicrohttpd). */
+/* reply: responses of the HTTP listeners (libmicrohttpd). */
 #ifndef SISKIN_REPLY_H
 #define SISKIN_REPLY_H
 
@@ -9,12 +9,13 @@
 extern "C" {
 #endif
 
-/* For a handler of libmicrohttpd, which is called several times a request:
- * true once the request is here whole.  The first call has the headers only; a
- * body is read and ignored. */
+/* For a libmicrohttpd access handler, which is called several times for each
+ * request.  Returns true once the request has been received completely.  The
+ * first call has only the headers; a body is read and discarded. */
 bool http_request_whole(size_t *body_len, void **state);
-/* Answers C with TEXT (malloc; freed).  MHD_NO, which ends the connection,
- * when TEXT is NULL for want of memory. */
+/* Queues a response with TEXT as the body; takes ownership of TEXT (malloc).
+ * Returns MHD_NO, which closes the connection, if TEXT is NULL because memory
+ * ran out. */
 enum MHD_Result http_reply(struct MHD_Connection *c, unsigned status,
                            const char *type, char *text);
 
--- a/test/kern_test.cc
+++ b/test/kern_test.cc
@@ -1,5 +1,5 @@
-// The micro-kernel: duties find each other, no message is lost or repeated,
-// a full inbox refuses, and a stop reaches a duty that sleeps.
+// The micro-kernel: lookup by name, no message lost or duplicated, refusal by
+// a full inbox, stop of a sleeping duty.
 #include "kern/kern.h"
 
 #include <gtest/gtest.h>
@@ -38,8 +38,9 @@
     kern_free(k);
 }
 
-// A caller floods an instance: the inbox is full, the sender is told at once
-// and keeps its message; what was accepted before stays.
+// Guards against loss when a caller floods an instance and the inbox is full:
+// the sender gets -EAGAIN at once and keeps its message, and messages accepted
+// before stay queued.
 TEST(Kern, FullInboxRefusesAndCounts)
 {
     for (bool one_sender : {true, false}) {
@@ -68,12 +69,12 @@
 
 struct echo_t {
     const char *to;
-    uint64_t left; // messages that it still awaits
-    bool poll;     // it sleeps in poll(), not on its inbox alone
+    uint64_t left; // messages still expected
+    bool poll;     // sleep in poll(), not on the inbox only
 };
 
-// Takes a token, passes it to the other; each sleeps in between, so that one
-// lost wake-up stops both for good.
+// Passes each message on to the next duty and sleeps in between.  A single
+// lost wake-up stops all of them for good.
 static void
 echo_run(duty_t *self, void *arg)
 {
@@ -150,7 +151,7 @@
         size_t m = duty_take(sink, msg, 16);
         for (size_t i = 0; i < m; i++) {
             uint64_t v = (uint64_t)msg[i];
-            EXPECT_EQ(++last[(v - 1) / n], v); // in each sender's order
+            EXPECT_EQ(++last[(v - 1) / n], v); // in order for each sender
         }
         got += m;
         if (m == 0) {
@@ -186,8 +187,8 @@
     sem_wait(static_cast<sem_t *>(arg));
 }
 
-// The platform does not answer while an instance stops: the thread that calls
-// it is still in the call, and the others don't wait for it.
+// Guards against a hang at stop when the platform doesn't respond: the thread
+// stays in its blocking call, and kern_stop() returns after the timeout.
 TEST(Kern, StopIsBounded)
 {
     kern_t *k = kern_new();
@@ -219,8 +220,9 @@
     pool_free(p);
 }
 
-// A datagram lies in the socket while nobody reads: its age tells for how
-// long.  One whose stamp is later than the clock, which stepped back, is new.
+// The age of a datagram is the time that it was queued in the socket.  It is 0
+// if the timestamp is later than the clock, after the clock stepped back, or
+// if there is no timestamp.
 TEST(Udp, AgeIsTimeInSocketBuffer)
 {
     addr_t a = {};
@@ -240,7 +242,8 @@
     h.msg_iovlen = 1;
     h.msg_control = stamp;
     ms_t age = 0;
-    // The kernel begins to stamp a moment after the first socket asks it to.
+    // The kernel starts to timestamp with a delay after the first socket
+    // enables the option.
     for (int i = 0; i < 100 && age < 29; i++) {
         ASSERT_EQ(3, sendto(fd, "abc", 3, 0, reinterpret_cast<sockaddr *>(&ss),
                             len));
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -1,5 +1,5 @@
-// The formats that cross sockets: what is written is read back, and no bytes
-// make a reader fail in any way but by its error.
+// Wire formats: encoded messages decode to the same values, and decoders
+// reject arbitrary bytes only with their documented errors.
 #include "wire/wire.h"
 
 #include <gtest/gtest.h>
@@ -129,8 +129,8 @@
     EXPECT_EQ(PIN_FLOW, r.sync.pin[31].kind);
 }
 
-// A caller without the key writes to an instance's peer socket: the message
-// is dropped before any field is believed.
+// Guards against messages forged by a caller without the key at an instance's
+// peer socket: they are rejected before any field is used.
 TEST(Peer, ForgedMessageIsRefused)
 {
     uint8_t b[PEER_MSG_MAX], other[PEER_KEY_LEN] = {9};
--- a/wire/coap.c
+++ b/wire/coap.c
@@ -1,4 +1,4 @@
-/* CoAP messages, read and written with libcoap's codec. */
+/* Encoding and decoding of CoAP messages with libcoap. */
 #include "wire/wire.h"
 
 #include <coap3/coap.h>
@@ -6,8 +6,8 @@
 #include <pthread.h>
 #include <string.h>
 
-/* libcoap copies the bytes it parses, so each thread keeps one PDU, which is
- * freed when the thread ends. */
+/* libcoap copies the bytes that it parses, so each thread reuses one PDU for
+ * decoding.  The PDU is freed when the thread exits. */
 static __thread coap_pdu_t *scratch;
 static pthread_key_t scratch_key;
 static pthread_once_t scratch_once = PTHREAD_ONCE_INIT;
@@ -124,7 +124,7 @@
     return 0;
 }
 
-/* The place where options are written, and the number of the last one. */
+/* Output position for options, and the number of the last option written. */
 typedef struct {
     uint8_t *p, *end;
     uint16_t last;
@@ -167,7 +167,7 @@
     if (cap < 4u + m->token_len) {
         return -ENOSPC;
     }
-    /* RFC 7252 section 3: version 1, type, token length, code, ID. */
+    /* RFC 7252 section 3: version 1, type, token length, code, message ID. */
     out[0] = (uint8_t)(0x40 | m->type << 4 | m->token_len);
     out[1] = m->code;
     out[2] = (uint8_t)(m->mid >> 8);
--- a/wire/peer.c
+++ b/wire/peer.c
@@ -1,4 +1,4 @@
-/* Messages between instances: msgpack bodies with a keyed BLAKE2b tag. */
+/* Messages between instances: a msgpack body and a keyed BLAKE2b tag. */
 #include "wire/wire.h"
 
 #include <errno.h>
@@ -9,7 +9,8 @@
 #define PEER_VERSION 1
 #define TAG_LEN 16
 
-/* msgpack writes through this into a caller's buffer; no allocation. */
+/* Output buffer of the msgpack packer, supplied by the caller: avoids
+ * allocation. */
 typedef struct {
     uint8_t *p;
     size_t len, cap;
@@ -104,7 +105,7 @@
     return (int)(buf.len + TAG_LEN);
 }
 
-/* Reads one msgpack object after another; BAD stays set after an error. */
+/* Reads consecutive msgpack objects; BAD is sticky after an error. */
 typedef struct {
     const char *p;
     size_t len, off;
--- a/wire/spp.c
+++ b/wire/spp.c
@@ -1,4 +1,4 @@
-/* The Simple Proxy Protocol header, and the names made from addresses. */
+/* The Simple Proxy Protocol header, and identifiers derived by hashing. */
 #include "wire/wire.h"
 #include "base/bytes.h"
 
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -1,6 +1,6 @@
-/* wire: the formats that cross sockets: the per-datagram proxy header, the
- * parts of CoAP that the balancer reads and writes, and the messages between
- * instances.  Nothing here opens a socket.
+/* wire: encoding and decoding of wire formats: the per-datagram proxy header,
+ * the subset of CoAP that the balancer uses, and the messages between
+ * instances.  Does no I/O.
  */
 #ifndef SISKIN_WIRE_H
 #define SISKIN_WIRE_H
@@ -11,13 +11,14 @@
 extern "C" {
 #endif
 
-#define DATAGRAM_MAX 1500 /* longest datagram carried, bytes */
+#define DATAGRAM_MAX 1500 /* longest datagram forwarded, bytes */
 
 /* ---- Simple Proxy Protocol for UDP (Cloudflare, 38 bytes) ---- */
 
 /* Magic 0x56EC, client IP, proxy IP, client port, proxy port; big endian.
- * The proxy address is the service's address.  It stands before each datagram
- * sent to an upstream, which echoes it before each reply. */
+ * The proxy address is the service's address.  The header precedes each
+ * datagram sent to an upstream; the upstream prepends the same header to each
+ * reply. */
 #define SPP_LEN 38
 
 typedef struct {
@@ -26,10 +27,10 @@
 } spp_t;
 
 void spp_write(uint8_t out[SPP_LEN], const spp_t *h);
-/* -EPROTO when DATA is shorter than a header or the magic differs. */
+/* -EPROTO: DATA is shorter than a header, or the magic differs. */
 int spp_read(spp_t *h, const uint8_t *data, size_t len);
 
-/* ---- CoAP (RFC 7252, 7641, 7959), codec by libcoap ---- */
+/* ---- CoAP (RFC 7252, 7641, 7959), encoded and decoded by libcoap ---- */
 
 typedef enum {
     COAP_T_CON = 0,
@@ -55,17 +56,17 @@
 #define COAP_INCOMPLETE COAP_C(4, 8) /* RFC 7959 2.9.2 */
 #define COAP_CONFLICT COAP_C(4, 9)   /* RFC 8132 */
 #define COAP_TOO_LARGE COAP_C(4, 13)
-#define COAP_UNAVAILABLE COAP_C(5, 3) /* "not run"; Max-Age: come back */
+#define COAP_UNAVAILABLE COAP_C(5, 3) /* "not run"; Max-Age: retry after */
 #define COAP_GW_TIMEOUT COAP_C(5, 4)  /* "outcome unknown" */
 
 #define COAP_TOKEN_MAX 8
-#define COAP_NONE UINT32_MAX /* an option that is absent */
-#define COAP_PATH_MAX 4      /* Uri-Path segments that are read or built */
+#define COAP_NONE UINT32_MAX /* option not present */
+#define COAP_PATH_MAX 4      /* Uri-Path segments decoded or encoded */
 #define COAP_SEG_MAX 32
 #define COAP_QUERY_MAX 96
 
-/* One CoAP message.  Read: the options the product needs, others skipped.
- * Built: the same fields written, in option order. */
+/* A CoAP message.  Decoding fills in the options below and skips all others;
+ * encoding writes the same options, in the order of their numbers. */
 typedef struct {
     coap_type_t type;
     uint8_t code;
@@ -75,24 +76,25 @@
     uint32_t observe; /* option 6, or COAP_NONE */
     uint32_t max_age; /* option 14, seconds, or COAP_NONE */
     uint32_t block1;  /* option 27: num << 4 | more << 3 | szx, or COAP_NONE */
-    uint32_t block2;  /* option 23, the same */
-    uint8_t path_n;   /* segments; not used for routing */
+    uint32_t block2;  /* option 23, same layout */
+    uint8_t path_n;   /* number of segments; not used for routing */
     char path[COAP_PATH_MAX][COAP_SEG_MAX];
     char query[COAP_QUERY_MAX]; /* first Uri-Query, "" when absent */
-    const uint8_t *payload;     /* points into the bytes read */
+    const uint8_t *payload;     /* points into the decoded buffer */
     size_t payload_len;
 } coap_msg_t;
 
-/* A message with no options and no token. */
+/* A message without options and token. */
 #define COAP_MSG_INIT                                                         \
     {                                                                         \
         .observe = COAP_NONE, .max_age = COAP_NONE, .block1 = COAP_NONE,      \
         .block2 = COAP_NONE                                                   \
     }
 
-/* -EPROTO when libcoap refuses the bytes. */
+/* -EPROTO: not a valid CoAP message, as libcoap decides, or longer than
+ * DATAGRAM_MAX. */
 int coap_decode(coap_msg_t *m, const uint8_t *data, size_t len);
-/* The number of bytes written, or -ENOSPC. */
+/* Returns the number of bytes written, or -ENOSPC. */
 int coap_encode(uint8_t *out, size_t cap, const coap_msg_t *m);
 bool coap_path_is(const coap_msg_t *m, const char *a, const char *b);
 
@@ -116,18 +118,18 @@
 
 typedef enum {
     PEER_MEMBER = 1, /* heartbeats and gossip; body owned by member/ */
-    PEER_STEER,      /* a client's datagram for the flow's home */
-    PEER_HINT,       /* "send this flow's datagrams to that upstream" */
-    PEER_SYNC,       /* pins for the backup home to hold */
-    PEER_SYNC_ACK    /* the pins the backup holds now */
+    PEER_STEER,      /* a client's datagram, forwarded to the flow's owner */
+    PEER_HINT,    /* "send this flow's datagrams to that upstream", leased */
+    PEER_SYNC,    /* pins for the backup owner to store */
+    PEER_SYNC_ACK /* the pins that the backup owner has stored */
 } peer_kind_t;
 
 typedef enum {
-    PIN_FLOW = 1, /* a feed or an opaque flow lives on the upstream */
-    PIN_UPLOAD    /* a block-wise upload is under way there */
+    PIN_FLOW = 1, /* the upstream serves a feed or an opaque flow */
+    PIN_UPLOAD    /* the upstream receives a block-wise upload */
 } pin_kind_t;
 
-/* What a home tells its backup of a flow. */
+/* A flow's pin, as replicated by the owner to the backup owner. */
 typedef struct {
     uint64_t flow;     /* flow_key() */
     uint64_t upstream; /* addr_id() of the upstream */
@@ -144,8 +146,9 @@
             size_t len;
         } member;
         struct {
-            uint8_t hops;     /* steers so far; refused past STEER_HOPS */
-            uint64_t version; /* the sender's version in force */
+            uint8_t hops; /* forwards so far; refused above STEER_HOPS */
+            uint64_t
+                version; /* configuration version in force at the sender */
             addr_t service, client;
             const uint8_t *data;
             size_t len;
@@ -164,18 +167,19 @@
 
 #define STEER_HOPS 3
 
-/* Stable 64-bit names of an address and of a flow. */
+/* Stable 64-bit identifiers of an address and of a flow. */
 uint64_t addr_id(const addr_t *a);
 uint64_t flow_key(const addr_t *service, const addr_t *client);
-/* The ID of an instance, from its name. */
+/* Stable 64-bit identifier of an instance, a hash of its name. */
 uint64_t instance_id(const char *name);
 
-/* Writes M with its authentication tag (keyed BLAKE2b, 16 bytes).
- * The number of bytes, or -ENOSPC. */
+/* Encodes M and appends an authentication tag (keyed BLAKE2b, 16 bytes).
+ * Returns the number of bytes written, or -ENOSPC. */
 int peer_write(uint8_t *out, size_t cap, const peer_msg_t *m,
                const uint8_t key[PEER_KEY_LEN]);
-/* Pointers in M point into DATA.  -EBADMSG: the tag is wrong; -EPROTO: the
- * tag is right and the body isn't understood (another release). */
+/* Verifies the tag and decodes.  Pointers in M point into DATA.  -EBADMSG: the
+ * tag is wrong; -EPROTO: the tag is valid, but the body can't be decoded (sent
+ * by another release). */
 int peer_read(peer_msg_t *m, const uint8_t *data, size_t len,
               const uint8_t key[PEER_KEY_LEN]);
 
