--- a/kern/kern.h
+++ b/kern/kern.h
@@ -32,7 +32,7 @@
     duty_run_t *run; /* NULL: runs on the caller's own thread */
     void *arg;
     unsigned inbox;          /* ring size, a power of two >= 4 */
-    bool one_sender;         /* single producer: uses the SPSC ring */
+    bool one_sender;         /* only one thread sends: SPSC ring */
     void (*drop)(void *msg); /* frees a message left in the inbox */
 } duty_spec_t;
 
@@ -66,7 +66,7 @@
 void duty_wake(duty_t *d);
 /* duty_put() and duty_wake(). */
 int duty_post(duty_t *d, void *msg);
-/* Dequeues up to N messages without waiting.  Call this from D's thread only.
+/* Dequeues up to N messages without waiting.  Only D's thread may call this.
  */
 size_t duty_take(duty_t *d, void **out, size_t n);
 /* Sleeps until a message, a stop request, an event on FDS or the timeout of
@@ -102,8 +102,8 @@
 /* ---- Sockets ---- */
 
 /* Opens and binds a non-blocking UDP socket with receive timestamps
- * (SO_TIMESTAMPNS).  Returns the descriptor, or a negative errno with E set.
- */
+ * (SO_TIMESTAMPNS).  Returns the descriptor, or a negative errno with E
+ * set. */
 int udp_open(const addr_t *a, err_t *e);
 
 /* Size of the msg_control buffer for a receive timestamp. */
