--- a/base/base.c
+++ b/base/base.c
@@ -1,4 +1,4 @@
-/* Time, errors, hashing, random numbers and histograms. */
+/* Time, arrays, errors, hashing, random numbers and histograms. */
 #include "base/base.h"
 
 #include <stdio.h>
@@ -37,20 +37,20 @@
 void *
 array_grow(void *array, size_t *cap, size_t need, size_t size)
 {
-    size_t more = *cap > 0 ? *cap : ARRAY_MIN;
-    void *grown;
+    size_t new_cap = *cap > 0 ? *cap : ARRAY_MIN;
+    void *resized;
 
-    while (more < need) {
-        more *= 2;
+    while (new_cap < need) {
+        new_cap *= 2;
     }
-    if (more == *cap) {
+    if (new_cap == *cap) {
         return array;
     }
-    grown = realloc(array, more * size);
-    if (grown != NULL) {
-        *cap = more;
+    resized = realloc(array, new_cap * size);
+    if (resized != NULL) {
+        *cap = new_cap;
     }
-    return grown;
+    return resized;
 }
 
 int
@@ -97,7 +97,7 @@
     return (uint32_t)(((rng_next(r) >> 32) * n) >> 32);
 }
 
-/* Values 0 to 3 have a slot each; then 4 slots for each power of two. */
+/* Values 0 to 3 have a bucket each; above, each power of two has 4 buckets. */
 static int
 hist_slot(uint64_t v)
 {
@@ -139,7 +139,7 @@
             (unsigned long long)n);
 }
 
-/* Bounds shown: one a power of two, to 2^18. */
+/* Exported bounds: one for each power of two, up to 2^18. */
 #define BOUND_STEP 4
 #define BOUND_LAST 71
 
@@ -169,12 +169,12 @@
 uint64_t
 hist_quantile(const hist_t *h, double q)
 {
-    uint64_t want = (uint64_t)(q * (double)h->count);
+    uint64_t rank = (uint64_t)(q * (double)h->count);
     uint64_t seen = 0;
 
     for (int i = 0; i < HIST_SLOTS; i++) {
         seen += h->slot[i];
-        if (seen > want || (seen == h->count && seen > 0)) {
+        if (seen > rank || (seen == h->count && seen > 0)) {
             return hist_bound(i);
         }
     }
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -1,5 +1,5 @@
-// The formats that cross sockets: what is written is read back, and no bytes
-// make a reader fail in any way but by its error.
+// Wire formats: encoded messages decode to the same values, and decoders
+// reject arbitrary bytes only with their documented errors.
 #include "wire/wire.h"
 
 #include <gtest/gtest.h>
@@ -82,7 +82,7 @@
     }
 }
 
-RC_GTEST_PROP(Coap, NoBytesBreakTheReader, (std::vector<uint8_t> b))
+RC_GTEST_PROP(Coap, ArbitraryBytesAreHandled, (std::vector<uint8_t> b))
 {
     coap_msg_t m;
     int rc = coap_decode(&m, b.data(), b.size());
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(Peer, SteerAndSyncRoundTrip)
+TEST(Peer, ForwardAndSyncRoundTrip)
 {
     uint8_t b[PEER_MSG_MAX];
     peer_msg_t m = {}, r;
@@ -129,8 +129,8 @@
     EXPECT_EQ(PIN_FLOW, r.sync.pin[31].kind);
 }
 
-// A caller without the key writes to an instance's peer socket: the message
-// is dropped before any field is believed.
+// Guards against messages forged by a caller without the key at an instance's
+// peer socket: they are rejected before any field is used.
 TEST(Peer, ForgedMessageIsRefused)
 {
     uint8_t b[PEER_MSG_MAX], other[PEER_KEY_LEN] = {9};
@@ -144,7 +144,7 @@
     EXPECT_EQ(-EBADMSG, peer_read(&r, b, (size_t)n, key));
 }
 
-RC_GTEST_PROP(Peer, NoBytesBreakTheReader, (std::vector<uint8_t> b))
+RC_GTEST_PROP(Peer, ArbitraryBytesAreHandled, (std::vector<uint8_t> b))
 {
     peer_msg_t m;
     int rc = peer_read(&m, b.data(), b.size(), key);
--- a/wire/coap.c
+++ b/wire/coap.c
@@ -1,4 +1,4 @@
-/* CoAP messages, read and written with libcoap's codec. */
+/* Encoding and decoding of CoAP messages with libcoap. */
 #include "wire/wire.h"
 
 #include <coap3/coap.h>
@@ -6,8 +6,8 @@
 #include <pthread.h>
 #include <string.h>
 
-/* libcoap copies the bytes it parses, so each thread keeps one PDU, which is
- * freed when the thread ends. */
+/* libcoap copies the bytes that it parses, so each thread reuses one PDU for
+ * decoding.  The PDU is freed when the thread exits. */
 static __thread coap_pdu_t *scratch;
 static pthread_key_t scratch_key;
 static pthread_once_t scratch_once = PTHREAD_ONCE_INIT;
@@ -19,7 +19,7 @@
 }
 
 static void
-scratch_start(void)
+scratch_init(void)
 {
     coap_set_log_level(LOG_EMERG);
     pthread_key_create(&scratch_key, scratch_free);
@@ -29,7 +29,7 @@
 scratch_pdu(void)
 {
     if (scratch == NULL) {
-        pthread_once(&scratch_once, scratch_start);
+        pthread_once(&scratch_once, scratch_init);
         scratch = coap_pdu_init(0, 0, 0, DATAGRAM_MAX);
         pthread_setspecific(scratch_key, scratch);
     }
@@ -124,26 +124,26 @@
     return 0;
 }
 
-/* The place where options are written, and the number of the last one. */
+/* Output position for options, and the number of the last option written. */
 typedef struct {
     uint8_t *p, *end;
     uint16_t last;
-    bool full;
+    bool overflow;
 } writer_t;
 
 static void
 put_option(writer_t *w, uint16_t number, const void *val, size_t len)
 {
-    size_t room = (size_t)(w->end - w->p);
+    size_t space = (size_t)(w->end - w->p);
     uint16_t delta = (uint16_t)(number - w->last);
     size_t n;
 
-    if (w->full || coap_opt_encode_size(delta, len) > room) {
-        w->full = true;
+    if (w->overflow || coap_opt_encode_size(delta, len) > space) {
+        w->overflow = true;
         return;
     }
-    n = coap_opt_encode(w->p, room, delta, val, len);
-    w->full = n == 0;
+    n = coap_opt_encode(w->p, space, delta, val, len);
+    w->overflow = n == 0;
     w->p += n;
     w->last = number;
 }
@@ -167,7 +167,7 @@
     if (cap < 4u + m->token_len) {
         return -ENOSPC;
     }
-    /* RFC 7252 section 3: version 1, type, token length, code, ID. */
+    /* RFC 7252 section 3: version 1, type, token length, code, message ID. */
     out[0] = (uint8_t)(0x40 | m->type << 4 | m->token_len);
     out[1] = m->code;
     out[2] = (uint8_t)(m->mid >> 8);
@@ -183,7 +183,7 @@
     }
     put_uint(&w, COAP_OPTION_BLOCK2, m->block2);
     put_uint(&w, COAP_OPTION_BLOCK1, m->block1);
-    if (w.full) {
+    if (w.overflow) {
         return -ENOSPC;
     }
     if (m->payload_len > 0) {
--- a/wire/peer.c
+++ b/wire/peer.c
@@ -1,4 +1,4 @@
-/* Messages between instances: msgpack bodies with a keyed BLAKE2b tag. */
+/* Messages between instances: a msgpack body and a keyed BLAKE2b tag. */
 #include "wire/wire.h"
 
 #include <errno.h>
@@ -9,16 +9,17 @@
 #define PEER_VERSION 1
 #define TAG_LEN 16
 
-/* msgpack writes through this into a caller's buffer; no allocation. */
+/* Output buffer of the msgpack packer, supplied by the caller: avoids
+ * allocation. */
 typedef struct {
     uint8_t *p;
     size_t len, cap;
-} sink_t;
+} pack_buffer_t;
 
 static int
-sink_write(void *data, const char *buf, size_t len)
+pack_buffer_write(void *data, const char *buf, size_t len)
 {
-    sink_t *s = data;
+    pack_buffer_t *s = data;
 
     if (s->cap - s->len < len) {
         return -1;
@@ -86,34 +87,34 @@
 peer_write(uint8_t *out, size_t cap, const peer_msg_t *m,
            const uint8_t key[PEER_KEY_LEN])
 {
-    sink_t sink = {.p = out, .cap = cap};
+    pack_buffer_t buf = {.p = out, .cap = cap};
     msgpack_packer pk;
 
     if (cap < TAG_LEN) {
         return -ENOSPC;
     }
-    sink.cap -= TAG_LEN;
-    msgpack_packer_init(&pk, &sink, sink_write);
+    buf.cap -= TAG_LEN;
+    msgpack_packer_init(&pk, &buf, pack_buffer_write);
     if (msgpack_pack_uint8(&pk, PEER_VERSION) |
         msgpack_pack_uint8(&pk, (uint8_t)m->kind) |
         msgpack_pack_uint64(&pk, m->from) | pack_body(&pk, m)) {
         return -ENOSPC;
     }
-    crypto_generichash(out + sink.len, TAG_LEN, out, sink.len, key,
+    crypto_generichash(out + buf.len, TAG_LEN, out, buf.len, key,
                        PEER_KEY_LEN);
-    return (int)(sink.len + TAG_LEN);
+    return (int)(buf.len + TAG_LEN);
 }
 
-/* Reads one msgpack object after another; BAD stays set after an error. */
+/* Reads consecutive msgpack objects; BAD is sticky after an error. */
 typedef struct {
     const char *p;
     size_t len, off;
     msgpack_unpacked u;
     bool bad;
-} source_t;
+} unpacker_t;
 
 static const msgpack_object *
-next(source_t *s, msgpack_object_type want)
+next(unpacker_t *s, msgpack_object_type want)
 {
     static const msgpack_object nil = {.type = MSGPACK_OBJECT_NIL};
 
@@ -128,7 +129,7 @@
 }
 
 static uint64_t
-next_uint(source_t *s, uint64_t max)
+next_uint(unpacker_t *s, uint64_t max)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
@@ -140,7 +141,7 @@
 }
 
 static const uint8_t *
-next_bin(source_t *s, size_t *len)
+next_bin(unpacker_t *s, size_t *len)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_BIN);
 
@@ -153,7 +154,7 @@
 }
 
 static void
-next_addr(source_t *s, addr_t *a)
+next_addr(unpacker_t *s, addr_t *a)
 {
     size_t n;
     const uint8_t *ip = next_bin(s, &n);
@@ -186,7 +187,7 @@
 }
 
 static void
-read_pins(source_t *s, peer_msg_t *m)
+read_pins(unpacker_t *s, peer_msg_t *m)
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_ARRAY);
 
@@ -203,7 +204,7 @@
 }
 
 static void
-read_body(source_t *s, peer_msg_t *m)
+read_body(unpacker_t *s, peer_msg_t *m)
 {
     switch (m->kind) {
     case PEER_MEMBER:
@@ -234,7 +235,7 @@
           const uint8_t key[PEER_KEY_LEN])
 {
     uint8_t tag[TAG_LEN];
-    source_t s = {.p = (const char *)data};
+    unpacker_t s = {.p = (const char *)data};
 
     if (len <= TAG_LEN) {
         return -EBADMSG;
