--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -1,4 +1,4 @@
-/* The adapter: packets, the store's documents, and bytes of any kind. */
+/* Tests of the platform adapter: packets, store documents and fuzzed input. */
 #include "platform/platform.h"
 #include "test/flow_bed.h"
 
@@ -23,7 +23,7 @@
     "02 00 00 00 a1 b2 c3 d5 01 bb 9c 41 c6 12 00 01 64 40 00 07 11 22 33 44 "
     "00 00 00 00 00 00 00 00";
 
-TEST(Packet, AnOpeningPacketIsRead)
+TEST(Packet, ReadsSyn)
 {
     std::vector<uint8_t> d = hex(SYN);
     flow_packet_t p;
@@ -40,7 +40,7 @@
     EXPECT_EQ(p.tag, 0u);
 }
 
-TEST(Packet, OnlyTheTagIsWritten)
+TEST(Packet, SetTagChangesOnlyTheTag)
 {
     std::vector<uint8_t> d = hex(SYN), before = d;
 
@@ -51,7 +51,7 @@
               hex("de ad be ef "));
 }
 
-TEST(Packet, AResetIsWrittenAsTheCallerExpectsIt)
+TEST(Packet, ResetHasTheExpectedHeader)
 {
     addr_t caller = address("100.64.0.7:40001");
     addr_t service = address("198.18.0.1:443");
@@ -63,7 +63,7 @@
                   "01 00 00 00 00 00 00 00 00 00 00 00 00"));
 }
 
-TEST(Packet, ThePrefixIsTheWholeId)
+TEST(Packet, PrefixHoldsTheWholeUpstreamId)
 {
     uint8_t out[PACKET_PREFIX];
 
@@ -72,7 +72,7 @@
               hex("00 00 00 01 7f 3a 91 c2 "));
 }
 
-TEST(Packet, WrongLengthsAreRefused)
+TEST(Packet, RejectsWrongLengths)
 {
     std::vector<uint8_t> d = hex(SYN);
     flow_packet_t p;
@@ -97,7 +97,7 @@
     return found;
 }
 
-TEST(Packet, ARequestsIdIsFoundForTheLog)
+TEST(Packet, ExtractsRequestId)
 {
     std::string id;
 
@@ -109,7 +109,7 @@
     EXPECT_FALSE(request_id("GET / HTTP/1.1\r\nX-Request-Id: ", &id));
     EXPECT_FALSE(request_id("X-Request-Id: inside a body", &id));
     EXPECT_TRUE(request_id("GET /\r\nX-Request-Id: a b\nc\r\n", &id));
-    EXPECT_EQ(id, "a"); /* never a second log line */
+    EXPECT_EQ(id, "a"); /* the value can't start a new log line */
     EXPECT_TRUE(
         request_id("GET /\r\nX-Request-Id:" + std::string(200, 'x'), &id));
     EXPECT_EQ(id.size(), 64u);
@@ -125,7 +125,7 @@
     return store_event(ev, &item, e);
 }
 
-TEST(Items, AnUpstreamIsRead)
+TEST(Items, DecodesUpstream)
 {
     store_event_t ev;
     err_t e = {};
@@ -146,9 +146,9 @@
     EXPECT_STREQ(ev.upstream.data_centre, "z");
 }
 
-/* Anybody may write an entry.  One that can't be read names no server, and an
- * earlier reading of it doesn't hold on. */
-TEST(Items, UnreadableEntriesNameNoUpstream)
+/* Anyone can write an entry.  An invalid entry describes no upstream, and the
+ * upstream that it described before is not kept. */
+TEST(Items, InvalidUpstreamsAreReportedGone)
 {
     static const char *const bad[] = {
         "",
@@ -181,7 +181,7 @@
     }
 }
 
-TEST(Items, KeysWithoutAnIdAreSomebodyElses)
+TEST(Items, KeysWithoutAnUpstreamIdYieldNoUpstream)
 {
     for (const char *key : {"servers/", "servers/i-", "servers/i-xyz",
                             "servers/i-0", "servers/i-11112222333344445"}) {
@@ -196,7 +196,7 @@
     EXPECT_EQ(ev.kind, STORE_OTHER);
 }
 
-TEST(Items, RoutesAreRead)
+TEST(Items, DecodesRoutes)
 {
     store_event_t ev;
     err_t e = {};
@@ -223,8 +223,8 @@
     flow_conf_free(c);
 }
 
-/* Downloads may be repeated as reads may; a kind that nobody knows may not. */
-TEST(Items, TheKindOfARouteTellsWhetherItsRequestsAreIdempotent)
+/* Downloads are idempotent, as reads are; unknown kinds are not. */
+TEST(Items, RouteKindDecidesIdempotence)
 {
     static const std::pair<const char *, bool> kinds[] = {
         {R"("kind":"safe",)", true},
@@ -248,7 +248,7 @@
     }
 }
 
-TEST(Items, RoutesThatCannotBeReadAreRefusedWhole)
+TEST(Items, OneInvalidRouteRejectsTheConfiguration)
 {
     static const char *const bad[] = {
         "",
@@ -274,7 +274,7 @@
     }
 }
 
-TEST(Items, WhatUpstreamsBearWhileTheyWarmUpIsRead)
+TEST(Items, DecodesWarmUpRates)
 {
     store_event_t ev;
     err_t e = {};
@@ -292,7 +292,7 @@
     flow_conf_free(ev.routes);
 }
 
-TEST(Items, AnEvacuationIsReadWhateverItsValueSays)
+TEST(Items, EvacuationIgnoresItsValue)
 {
     for (const char *value : {"{}", "", "not JSON"}) {
         store_event_t ev;
@@ -304,7 +304,7 @@
     }
 }
 
-TEST(Items, TheEndOfAnEvacuationIsRead)
+TEST(Items, DecodesEndOfEvacuation)
 {
     store_event_t ev;
     err_t e = {};
@@ -314,7 +314,7 @@
     EXPECT_FALSE(ev.evacuation.evacuated);
 }
 
-TEST(Items, AnEvacuationWithoutAUsableNameIsRefused)
+TEST(Items, RejectsEvacuationWithoutValidName)
 {
     std::string names[] = {"", std::string(FLOW_NAME_LEN, 'x')};
 
@@ -327,7 +327,7 @@
     }
 }
 
-TEST(Items, APeerIsRead)
+TEST(Items, DecodesPeer)
 {
     addr_t a = address("10.1.0.10:8166");
     store_event_t ev;
@@ -343,9 +343,10 @@
     EXPECT_EQ(ev.kind, STORE_PEER_GONE);
 }
 
-/* An instance that starts among thousands of upstreams leaves the list to its
- * peers after the first page: by then it must know them. */
-TEST(Items, PeersComeBeforeUpstreamsInAList)
+/* A starting instance reads only the first page of the list if there are
+ * thousands of upstreams, and gets the rest from its peers.  The first page
+ * must therefore contain the peers. */
+TEST(Items, PeersSortBeforeUpstreams)
 {
     addr_t a = address("250.1.0.10:8166");
     char key[128];
@@ -354,7 +355,7 @@
     EXPECT_LT(std::string(key), "servers/");
 }
 
-TEST(Items, TextAndBack)
+TEST(Items, SerialisationRoundTrip)
 {
     store_items_t s = {}, back;
     char *text;
@@ -377,7 +378,7 @@
     store_items_free(&back);
 }
 
-/* ---- Bytes of any kind (run under sanitizers too) ---- */
+/* ---- Fuzzing (run under sanitizers too) ---- */
 
 static std::string
 damaged(rng_t *rng, std::string s)
@@ -401,7 +402,7 @@
     return s;
 }
 
-TEST(Fuzz, DocumentsOfAnyShapeAreReadOrRefused)
+TEST(Fuzz, DamagedDocumentsAreDecodedOrRejected)
 {
     static const std::string routes =
         R"({"version":7,"routes":[{"name":"r","host":"198.18.0.2",)"
@@ -432,9 +433,9 @@
     }
 }
 
-/* Any datagram at the packet socket ends in a decision or is refused; the
- * flow set stays whole. */
-TEST(Fuzz, PacketsOfAnyBytesEndInADecision)
+/* Any datagram at the packet socket leads to a decision or is rejected, and
+ * the flow set stays consistent. */
+TEST(Fuzz, RandomPacketsAreHandledOrRejected)
 {
     rng_t rng = {6, 0};
     FlowBed bed;
