--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -436,7 +436,7 @@
     fake.answering = true;
     core_set_members(c, now, both, 2, INT64_MIN, 1);
     core_set_conf(c, now, &conf);
-    tick_for(c, &now, DOUBT_MS + 2000); /* until it is sure to be the home */
+    tick_for(c, &now, OWNER_SETTLE_MS + 2000); /* exclusive ownership */
     fake.answering = false;
     start = cpu_ms();
     for (uint32_t i = 0; i < flows; i++) {
@@ -445,7 +445,7 @@
     }
     start = cpu_ms() - start;
     fake.answering = true;
-    core_flows(c, &used, &hints, &exchanges);
+    core_table_usage(c, &used, &hints, &exchanges);
     printf("%8u %10.3f %10u", flows, start * 1e3 / flows, used);
     sync_share(c, &now, used);
     core_free(c);
--- a/core/core.c
+++ b/core/core.c
@@ -121,13 +121,13 @@
 }
 
 void
-core_history_complete(core_t *c)
+core_set_history_complete(core_t *c)
 {
     c->history_complete = true;
 }
 
 bool
-core_met_elder(const core_t *c)
+core_saw_older_member(const core_t *c)
 {
     return c->met_older;
 }
@@ -143,15 +143,17 @@
  * contact with all others gets a version at about the same time as they do;
  * an instance that was cut off may get it much later.  For the first
  * version here the time is known if the history is declared complete, or if
- * the versions in force over all of the last DOUBT_MS were supplied. */
+ * the versions in force over all of the last OWNER_SETTLE_MS were supplied. */
 static ms_t
 first_listing(core_t *c)
 {
-    bool in_contact = !c->suspects && c->now - c->uncertain_at >= DOUBT_MS;
+    bool in_contact =
+        !c->suspects && c->now - c->uncertain_at >= OWNER_SETTLE_MS;
     bool known = in_contact;
 
     if (c->first_version) {
-        known = c->history_complete || c->last_call - c->now >= DOUBT_MS;
+        known =
+            c->history_complete || c->last_call - c->now >= OWNER_SETTLE_MS;
     }
     return known ? c->now : INT64_MIN / 2;
 }
@@ -251,7 +253,7 @@
 }
 
 void
-core_stay(core_t *c, ms_t now)
+core_cancel_leave(core_t *c, ms_t now)
 {
     c->now = now;
     c->leaving = false;
@@ -306,14 +308,15 @@
         if (!u->used) {
             continue;
         }
-        out[n] = (core_upstream_t){.addr = u->conf.addr,
-                                   .draining = u->draining || u->conf_draining,
-                                   .trusted = up_lease_valid(c, (up_ix_t)i),
-                                   .ejected = c->now < u->eject_until,
-                                   .epoch = u->epoch,
-                                   .in_flight = u->in_flight,
-                                   .reported_busy = u->reported,
-                                   .flows = u->flows};
+        out[n] =
+            (core_upstream_t){.addr = u->conf.addr,
+                              .draining = u->draining || u->conf_draining,
+                              .lease_valid = up_lease_valid(c, (up_ix_t)i),
+                              .ejected = c->now < u->eject_until,
+                              .epoch = u->epoch,
+                              .in_flight = u->in_flight,
+                              .reported_busy = u->reported,
+                              .flows = u->flows};
         memcpy(out[n].service, c->services[u->service].conf.name, NAME_LEN);
         memcpy(out[n].data_centre, u->conf.data_centre, NAME_LEN);
         n++;
@@ -322,8 +325,8 @@
 }
 
 void
-core_flows(const core_t *c, uint32_t *flows, uint32_t *hints,
-           uint32_t *exchanges)
+core_table_usage(const core_t *c, uint32_t *flows, uint32_t *hints,
+                 uint32_t *exchanges)
 {
     *flows = c->flow_used;
     *exchanges = c->ex_used;
--- a/core/core.h
+++ b/core/core.h
@@ -27,15 +27,16 @@
 /* After this period without uncertainty about members or tables, no client
  * can still send a copy of an earlier request: MAX_TRANSMIT_SPAN, 45 s (RFC
  * 7252 4.8.2), plus the time for a version to spread. */
-#define DOUBT_MS 50000
+#define OWNER_SETTLE_MS 50000
 /* EXCHANGE_LIFETIME (RFC 7252 4.8.2): after this a message ID may be
  * reused. */
-#define EXCHANGE_MS 247000
+#define EXCHANGE_LIFETIME_MS 247000
 /* Identity lease: an upstream counts as verified for this period after a
  * probe that was answered with its service and epoch.  Must be shorter than
  * the time an upstream takes to restart or to change its service. */
-#define TRUST_MS 3500
-#define PROBE_MS 2000 /* interval of the identity probes of an upstream */
+#define IDENTITY_LEASE_MS 3500
+/* Interval of the identity probes of an upstream. */
+#define IDENTITY_PROBE_MS 2000
 #define HINT_LEASE_MS 20000
 
 /* Traffic classes, from the last to be shed under overload to the first. */
@@ -50,12 +51,14 @@
 
 /* Reasons for refusing a request; each has a counter. */
 typedef enum {
-    REFUSE_FULL,  /* no upstream has room for its class: not run */
-    REFUSE_SHARE, /* the caller's share of requests is in progress: not run */
-    REFUSE_NONE,  /* no upstream of the service has a valid lease: not run */
-    REFUSE_TABLE, /* the exchange or flow table is full: not run */
-    REFUSE_MID_REUSE, /* a message ID or token reused too early: not run */
-    REFUSE_UNKNOWN,   /* a copy may have run: outcome unknown */
+    REFUSE_FULL,         /* no upstream has room for its class: not run */
+    REFUSE_CALLER_SHARE, /* the caller's share of requests is in progress: not
+                          * run */
+    REFUSE_NO_UPSTREAM,  /* no upstream of the service has a valid lease: not
+                          * run */
+    REFUSE_TABLE_FULL,   /* the exchange or flow table is full: not run */
+    REFUSE_MID_REUSE,    /* a message ID or token reused too early: not run */
+    REFUSE_OUTCOME_UNKNOWN, /* a copy may have run: outcome unknown */
     REFUSE_TOO_LARGE, /* longer than 1152 bytes without blocks: not run */
     REFUSE_UPLOAD,    /* an upload's upstream is lost: start again (4.08) */
     REFUSE_COUNT
@@ -109,8 +112,8 @@
 
 /* Applies a newer configuration version.  Returns -ESTALE for older and
  * equal ones, since versions never revert.  An instance that starts applies
- * the versions of the last DOUBT_MS in order, each with NOW as the time at
- * which the version came into force at the peer that delivered it: these
+ * the versions of the last OWNER_SETTLE_MS in order, each with NOW as the time
+ * at which the version came into force at the peer that delivered it: these
  * show which upstreams may hold requests made before the start.  On -ENOMEM
  * the previous version stays in force. */
 int core_set_conf(core_t *c, ms_t now, const conf_t *conf);
@@ -118,17 +121,17 @@
  * here.  Call before the first core_set_conf().  Known from a peer for which
  * this was declared, or when the instance got the site's first version from
  * the platform and saw no member that had started earlier. */
-void core_history_complete(core_t *c);
+void core_set_history_complete(core_t *c);
 /* True when a member was seen that had started before this instance. */
-bool core_met_elder(const core_t *c);
+bool core_saw_older_member(const core_t *c);
 bool core_history_is_complete(const core_t *c);
 uint64_t core_version(const core_t *c);
 
-/* Updates the members.  LIST is as from members_list(); DOUBT_AT and LOWEST
- * are those of members_doubt_at() and members_lowest_version().  On -ENOMEM
- * the previous list stays. */
+/* Updates the members.  LIST is as from members_list(); UNCERTAIN_AT and
+ * LOWEST_VERSION are those of members_doubt_at() and members_lowest_version().
+ * On -ENOMEM the previous list stays. */
 int core_set_members(core_t *c, ms_t now, const member_t *list, size_t n,
-                     ms_t doubt_at, uint64_t lowest);
+                     ms_t uncertain_at, uint64_t lowest_version);
 
 /* Handles a datagram from a caller, received on the service's socket. */
 void core_from_client(core_t *c, ms_t now, const addr_t *service,
@@ -140,15 +143,15 @@
 /* Handles a message from another instance whose tag has been verified. */
 void core_from_peer(core_t *c, ms_t now, const peer_msg_t *m);
 /* Call at least every 50 ms: sends probes, checks timeouts, replicates pins
- * to backups at a limited rate.  A gap of more than TRUST_MS since the last
- * call (a pause) ends all identity leases. */
+ * to backups at a limited rate.  A gap of more than IDENTITY_LEASE_MS since
+ * the last call (a pause) ends all identity leases. */
 void core_tick(core_t *c, ms_t now);
 
 /* This instance is leaving: hands over the pins that only it holds and decides
  * on no new flow. */
 void core_leave(core_t *c, ms_t now);
 /* Cancels the leaving. */
-void core_stay(core_t *c, ms_t now);
+void core_cancel_leave(core_t *c, ms_t now);
 /* Counts requests in progress and pins that their sync target has not
  * acknowledged.  A leaving instance stops when both are 0 and the fabric
  * has caught up. */
@@ -173,18 +176,18 @@
     char service[NAME_LEN];
     addr_t addr;
     char data_centre[NAME_LEN];
-    bool draining, trusted, ejected;
+    bool draining, lease_valid, ejected;
     uint32_t epoch, in_flight, reported_busy, flows;
 } core_upstream_t;
 
 /* Statistics of the service at that address; all zero when there is none. */
 void core_stats(const core_t *c, const addr_t *service, core_stats_t *out);
 size_t core_upstreams(const core_t *c, core_upstream_t *out, size_t cap);
-void core_flows(const core_t *c, uint32_t *flows, uint32_t *hints,
-                uint32_t *exchanges);
+void core_table_usage(const core_t *c, uint32_t *flows, uint32_t *hints,
+                      uint32_t *exchanges);
 /* The owner of a flow; 0 when there is none. */
-uint64_t core_home(const core_t *c, const addr_t *service,
-                   const addr_t *client);
+uint64_t core_owner(const core_t *c, const addr_t *service,
+                    const addr_t *client);
 
 #ifdef __cplusplus
 }
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -265,7 +265,8 @@
 static ms_t
 retention_ms(const core_t *c)
 {
-    return c->ex_used > c->p.max_exchanges / 4 * 3 ? DOUBT_MS : EXCHANGE_MS;
+    return c->ex_used > c->p.max_exchanges / 4 * 3 ? OWNER_SETTLE_MS
+                                                   : EXCHANGE_LIFETIME_MS;
 }
 
 /* ex_kept is in the order in which the records were put there, so expired
--- a/core/input.c
+++ b/core/input.c
@@ -176,7 +176,7 @@
     if (gap > PAUSE_MS) {
         c->uncertain_at = now;
     }
-    if (gap > TRUST_MS) {
+    if (gap > IDENTITY_LEASE_MS) {
         resume_after_pause(c);
     }
 }
--- a/core/owners.c
+++ b/core/owners.c
@@ -27,7 +27,7 @@
 }
 
 uint64_t
-core_home(const core_t *c, const addr_t *service, const addr_t *client)
+core_owner(const core_t *c, const addr_t *service, const addr_t *client)
 {
     uint32_t i = map_get(&c->service_map, addr_id(service));
     uint64_t key = flow_key(service, client);
@@ -54,27 +54,27 @@
     return s->owner != c->p.self || s->backup_joins;
 }
 
-/* Ownership is exclusive when, for DOUBT_MS, this instance was the owner
- * and all members were alive and had the same view: no other instance can
- * then have forwarded what is not recorded here.  A single suspect member
+/* Ownership is exclusive when, for OWNER_SETTLE_MS, this instance was the
+ * owner and all members were alive and had the same view: no other instance
+ * can then have forwarded what is not recorded here.  A single suspect member
  * anywhere ends this: cut off from the others, the suspect treats itself as
  * the owner of everything that the fabric delivers to it. */
 bool
 owner_exclusive(core_t *c, uint64_t key)
 {
-    return !c->suspects && c->now - c->uncertain_at >= DOUBT_MS &&
-           c->now - c->start >= DOUBT_MS &&
-           c->now - slot_of(c, key)->owner_since >= DOUBT_MS;
+    return !c->suspects && c->now - c->uncertain_at >= OWNER_SETTLE_MS &&
+           c->now - c->start >= OWNER_SETTLE_MS &&
+           c->now - slot_of(c, key)->owner_since >= OWNER_SETTLE_MS;
 }
 
-/* For DOUBT_MS a new owner forwards datagrams of unknown flows to its
+/* For OWNER_SETTLE_MS a new owner forwards datagrams of unknown flows to its
  * predecessor, which has pins that the new owner lacks. */
 uint64_t
 previous_owner(core_t *c, uint64_t key)
 {
     const slot_t *s = slot_of(c, key);
 
-    if (c->now - s->owner_since >= DOUBT_MS) {
+    if (c->now - s->owner_since >= OWNER_SETTLE_MS) {
         return 0;
     }
     return s->previous;
@@ -216,7 +216,7 @@
 
 int
 core_set_members(core_t *c, ms_t now, const member_t *list, size_t n,
-                 ms_t doubt_at, uint64_t lowest)
+                 ms_t uncertain_at, uint64_t lowest_version)
 {
     peer_t *peers = calloc(n + 1, sizeof(*peers));
     bool changed = false;
@@ -229,8 +229,9 @@
     if (c->start < 0) {
         c->start = c->last_call = now;
     }
-    c->lowest = lowest;
-    c->uncertain_at = doubt_at > c->uncertain_at ? doubt_at : c->uncertain_at;
+    c->lowest_version = lowest_version;
+    c->uncertain_at =
+        uncertain_at > c->uncertain_at ? uncertain_at : c->uncertain_at;
     c->suspects = false;
     for (size_t i = 0; i < n; i++) {
         peers[i].id = list[i].id;
--- a/core/pins.c
+++ b/core/pins.c
@@ -89,7 +89,7 @@
         up_ix_t up = choose_for_unknown(c, s, d->key);
         s->stats.requests[CLASS_OPAQUE]++;
         if (up == UP_NONE) {
-            s->stats.refused[REFUSE_NONE]++;
+            s->stats.refused[REFUSE_NO_UPSTREAM]++;
             return;
         }
         f = flow_add(c, d->key, d->service, up, 0);
@@ -149,7 +149,7 @@
     s->stats.requests[CLASS_FEED]++;
     if (up == UP_NONE || !up_room(c, up, CLASS_FEED)) {
         answer_now(c, d, COAP_UNAVAILABLE, retry_after_s(c, s),
-                   up == UP_NONE ? REFUSE_NONE : REFUSE_FULL);
+                   up == UP_NONE ? REFUSE_NO_UPSTREAM : REFUSE_FULL);
         return NULL;
     }
     if (flow_find(c, d->key) == NULL) {
--- a/core/request.c
+++ b/core/request.c
@@ -35,7 +35,7 @@
     service_t *s = service_of(c, ex);
 
     return owner_exclusive(c, request_owner_key(s, ex->key)) &&
-           c->now - s->groups_since >= DOUBT_MS &&
+           c->now - s->groups_since >= OWNER_SETTLE_MS &&
            !candidates_differ(c, s, ex->key);
 }
 
@@ -43,14 +43,14 @@
 
 /* True when U can be asked about a copy and would remember it.  False for
  * an upstream that has restarted since it may first have got work.  A restart
- * takes at least TRUST_MS, so an epoch that began sooner than that after the
- * first listing is the first one. */
+ * takes at least IDENTITY_LEASE_MS, so an epoch that began sooner than that
+ * after the first listing is the first one. */
 static bool
 can_cancel_at(const core_t *c, up_ix_t u)
 {
     const up_t *up = &c->ups[u];
-    bool lost_state = c->now - up->epoch_since < DOUBT_MS &&
-                      up->epoch_since - up->listed_since >= TRUST_MS;
+    bool lost_state = c->now - up->epoch_since < OWNER_SETTLE_MS &&
+                      up->epoch_since - up->listed_since >= IDENTITY_LEASE_MS;
 
     return up_lease_valid(c, u) && !lost_state;
 }
@@ -144,7 +144,7 @@
 static void
 end_unknown(core_t *c, ex_t *ex)
 {
-    service_of(c, ex)->stats.refused[REFUSE_UNKNOWN]++;
+    service_of(c, ex)->stats.refused[REFUSE_OUTCOME_UNKNOWN]++;
     answer_final(c, ex, COAP_GW_TIMEOUT, COAP_NONE);
 }
 
@@ -186,7 +186,7 @@
     service_t *s = service_of(c, ex);
 
     if (!up_lease_valid(c, ex->up)) {
-        end_refused(c, ex, REFUSE_NONE);
+        end_refused(c, ex, REFUSE_NO_UPSTREAM);
         return;
     }
     ex_set_state(c, ex, EX_SENT);
@@ -264,12 +264,13 @@
     service_t *s = service_of(c, ex);
 
     if (over_share(s, d)) {
-        end_refused(c, ex, REFUSE_SHARE);
+        end_refused(c, ex, REFUSE_CALLER_SHARE);
         return;
     }
     ex->up = choose(c, ex);
     if (ex->up == UP_NONE) {
-        end_refused(c, ex, any_eligible(c, s) ? REFUSE_FULL : REFUSE_NONE);
+        end_refused(c, ex,
+                    any_eligible(c, s) ? REFUSE_FULL : REFUSE_NO_UPSTREAM);
         return;
     }
     if (ex->idempotent || exclusive_for(c, ex)) {
@@ -355,7 +356,7 @@
 
     answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
                exclusive ? retry_after_s(c, service_of(c, ex)) : COAP_NONE,
-               exclusive ? REFUSE_MID_REUSE : REFUSE_UNKNOWN);
+               exclusive ? REFUSE_MID_REUSE : REFUSE_OUTCOME_UNKNOWN);
 }
 
 static void
@@ -385,7 +386,8 @@
         }
         if (!forward_duplicate(c, d, ex)) {
             /* It ran, but its answer is lost with the upstream. */
-            answer_now(c, d, COAP_GW_TIMEOUT, COAP_NONE, REFUSE_UNKNOWN);
+            answer_now(c, d, COAP_GW_TIMEOUT, COAP_NONE,
+                       REFUSE_OUTCOME_UNKNOWN);
         }
         return;
     case EX_SENT:
@@ -439,7 +441,8 @@
     }
     f = flow_add(c, d->key, d->service, up, FLOW_UPLOAD);
     if (f == NULL) {
-        upload_refuse(c, d, REFUSE_TABLE, !exclusive || already_forwarded);
+        upload_refuse(c, d, REFUSE_TABLE_FULL,
+                      !exclusive || already_forwarded);
         return NULL;
     }
     sync_flow(c, f);
@@ -524,7 +527,7 @@
                          d->m->code == COAP_GET;
         answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
                    exclusive ? retry_after_s(c, s) : COAP_NONE,
-                   exclusive ? REFUSE_TABLE : REFUSE_UNKNOWN);
+                   exclusive ? REFUSE_TABLE_FULL : REFUSE_OUTCOME_UNKNOWN);
         return;
     }
     if (same_token != NULL && same_token->state != EX_REFUSED &&
--- a/core/state.h
+++ b/core/state.h
@@ -244,7 +244,7 @@
     void *arg;
     ms_t now, start, last_call;
     rng_t rng;
-    uint64_t version, lowest;
+    uint64_t version, lowest_version;
     bool leaving;
     bool first_version;    /* the version in force is the first one here */
     bool history_complete; /* none anywhere before the first one here */
@@ -310,7 +310,7 @@
  * KEY or is joining to take it over. */
 bool handing_over(core_t *c, uint64_t key);
 /* True when this instance is the only possible owner of KEY, and was for
- * the last DOUBT_MS. */
+ * the last OWNER_SETTLE_MS. */
 bool owner_exclusive(core_t *c, uint64_t key);
 /* The previous owner, which may have pins that are missing here; 0: none. */
 uint64_t previous_owner(core_t *c, uint64_t key);
--- a/core/table.c
+++ b/core/table.c
@@ -222,7 +222,8 @@
 static bool
 is_expired(const core_t *c, const previous_t *e)
 {
-    return c->now - e->until >= DOUBT_MS && c->lowest >= e->version;
+    return c->now - e->until >= OWNER_SETTLE_MS &&
+           c->lowest_version >= e->version;
 }
 
 int
@@ -249,7 +250,7 @@
     const bucket_t *b = bucket_of(s, key);
 
     for (int i = 0; i < b->n_previous; i++) {
-        if (c->lowest < b->previous[i].version) {
+        if (c->lowest_version < b->previous[i].version) {
             return true;
         }
     }
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -246,7 +246,7 @@
 static bool
 probe_needed(const core_t *c, const up_t *up)
 {
-    bool selectable = up->listed || c->now - up->unlisted_at < DOUBT_MS;
+    bool selectable = up->listed || c->now - up->unlisted_at < OWNER_SETTLE_MS;
 
     return (selectable && c->services[up->service].may_own) || up->flows > 0 ||
            up->uploads > 0 || up->in_flight > 0 || c->now < up->hinted_until;
@@ -326,8 +326,8 @@
     up->probe_misses = 0;
     /* From the time of the probe: a delayed answer shows a past state, not
      * the current one. */
-    up->lease_until = up->probe_sent + TRUST_MS;
-    up->probe_next = up->probe_sent + PROBE_MS;
+    up->lease_until = up->probe_sent + IDENTITY_LEASE_MS;
+    up->probe_next = up->probe_sent + IDENTITY_PROBE_MS;
     return restarted;
 }
 
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -13,9 +13,9 @@
 
 /* Sizes of core's tables: 16 MB of flows, 12 MB of hints and 19 MB of
  * exchanges when full.  The record of a non-idempotent request is kept for
- * EXCHANGE_MS, or for DOUBT_MS once three quarters of the table are in use.
- * No record is lost up to some 200 such requests a second, or 1,000 with the
- * shorter lifetime. */
+ * EXCHANGE_LIFETIME_MS, or for OWNER_SETTLE_MS once three quarters of the
+ * table are in use.  No record is lost up to some 200 such requests a second,
+ * or 1,000 with the shorter lifetime. */
 #define MAX_FLOWS 500000
 #define MAX_HINTS 500000
 #define MAX_EXCHANGES 65536
@@ -139,10 +139,10 @@
     int rc;
 
     bool complete =
-        n->conf.complete || (n->conf.first && !core_met_elder(c->core));
+        n->conf.complete || (n->conf.first && !core_saw_older_member(c->core));
 
     if (complete && old == NULL) {
-        core_history_complete(c->core);
+        core_set_history_complete(c->core);
     }
     rc = core_set_conf(c->core, c->now - n->conf.age, conf);
     if (rc == -ENOMEM) {
@@ -231,18 +231,18 @@
     const member_t *list;
     size_t n;
     uint32_t peers = 0;
-    ms_t suspect_at = members_doubt_at(c->members, c->now);
+    ms_t uncertain_at = members_doubt_at(c->members, c->now);
     uint64_t lowest_version = members_lowest_version(c->members);
 
-    if (!c->members_changed && suspect_at == c->core_suspect_at &&
+    if (!c->members_changed && uncertain_at == c->core_uncertain_at &&
         lowest_version == c->core_lowest_version) {
         return;
     }
     c->members_changed = false;
-    c->core_suspect_at = suspect_at;
+    c->core_uncertain_at = uncertain_at;
     c->core_lowest_version = lowest_version;
     n = members_list(c->members, &list);
-    if (core_set_members(c->core, c->now, list, n, suspect_at,
+    if (core_set_members(c->core, c->now, list, n, uncertain_at,
                          lowest_version) < 0) {
         log_line(LVL_ERROR, "decide",
                  "Out of memory: the members are applied later. members=%zu",
--- a/siskind/decide.h
+++ b/siskind/decide.h
@@ -27,7 +27,7 @@
     bool members_changed;
     bool listed_alone; /* the platform lists only this instance */
     /* The values last passed to core. */
-    ms_t core_suspect_at;
+    ms_t core_uncertain_at;
     uint64_t core_lowest_version;
     member_state_t state; /* of this instance */
     ms_t leave_at;        /* entered LEAVING */
--- a/siskind/life.c
+++ b/siskind/life.c
@@ -48,7 +48,7 @@
     }
     n = core_upstreams(c->core, up, UPSTREAMS_SHOWN);
     for (size_t i = 0; i < n; i++) {
-        ready = ready && up[i].trusted;
+        ready = ready && up[i].lease_valid;
     }
     free(up);
     return ready;
@@ -169,7 +169,7 @@
     if (c->stopping || c->state == MEMBER_GONE) {
         return -EBUSY;
     }
-    core_stay(c->core, c->now);
+    core_cancel_leave(c->core, c->now);
     if (c->state == MEMBER_LEAVING) {
         SHARED_SET(c->d, leaving, false);
         SHARED_SET(c->d, leave_listed_at, 0);
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -35,14 +35,14 @@
 }
 
 /* True when V still has every version that an instance needs.  With more than
- * STEPS_MAX changes in DOUBT_MS, some of them are no longer kept.  If an
- * instance then believed its history complete, it would run requests again
+ * STEPS_MAX changes in OWNER_SETTLE_MS, some of them are no longer kept.  If
+ * an instance then believed its history complete, it would run requests again
  * that an upstream of a missing version still holds.  Otherwise its ownership
- * stays uncertain for DOUBT_MS. */
+ * stays uncertain for OWNER_SETTLE_MS. */
 static bool
 history_is_complete(const versions_t *v, ms_t now)
 {
-    return !v->dropped || now - v->first.at >= DOUBT_MS;
+    return !v->dropped || now - v->first.at >= OWNER_SETTLE_MS;
 }
 
 int
--- a/siskind/status.c
+++ b/siskind/status.c
@@ -39,7 +39,7 @@
             list,
             json_pack("{s:s, s:o, s:s, s:b, s:b, s:b, s:I, s:I, s:I, s:I}",
                       "service", u->service, "address", text_of(&u->addr),
-                      "data_centre", u->data_centre, "trusted", u->trusted,
+                      "data_centre", u->data_centre, "trusted", u->lease_valid,
                       "draining", u->draining, "ejected", u->ejected, "epoch",
                       (json_int_t)u->epoch, "in_flight",
                       (json_int_t)u->in_flight, "reported_busy",
--- a/siskind/view.c
+++ b/siskind/view.c
@@ -22,9 +22,9 @@
 refuse_name(refuse_t r)
 {
     static const char *const name[REFUSE_COUNT] = {
-        [REFUSE_FULL] = "full",           [REFUSE_SHARE] = "share",
-        [REFUSE_NONE] = "none",           [REFUSE_TABLE] = "table",
-        [REFUSE_MID_REUSE] = "mid_reuse", [REFUSE_UNKNOWN] = "unknown",
+        [REFUSE_FULL] = "full",           [REFUSE_CALLER_SHARE] = "share",
+        [REFUSE_NO_UPSTREAM] = "none",    [REFUSE_TABLE_FULL] = "table",
+        [REFUSE_MID_REUSE] = "mid_reuse", [REFUSE_OUTCOME_UNKNOWN] = "unknown",
         [REFUSE_UPLOAD] = "upload",
     };
 
@@ -150,7 +150,7 @@
         v->version = c->conf->version;
         v->version_age = c->now - c->conf_at;
     }
-    core_flows(c->core, &v->flows, &v->hints, &v->exchanges);
+    core_table_usage(c->core, &v->flows, &v->hints, &v->exchanges);
     core_pending(c->core, &v->pending_exchanges, &v->pending_pins);
     view_peers(c, v);
     view_services(c, v);
--- a/standin/upstream_main.c
+++ b/standin/upstream_main.c
@@ -18,8 +18,9 @@
 
 #define UPSTREAMS_MAX 256
 #define TICK_MS 5
-#define BURST 64     /* datagrams read from one socket before the next */
-#define DOWN_MS 5000 /* longer than TRUST_MS, as docs/UPSTREAM.md asks */
+#define BURST 64 /* datagrams read from one socket before the next */
+/* Longer than IDENTITY_LEASE_MS, as docs/UPSTREAM.md requires. */
+#define DOWN_MS 5000
 #define FILES_MAX 17 /* a base and 16 data centres */
 
 typedef struct {
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -199,9 +199,9 @@
     n.applied_at[n.version] = when;
 }
 
-/* Loads the versions of the last DOUBT_MS from a peer, with the times at which
- * the peer applied them.  Without a reachable peer, loads the platform's last
- * two versions, as applied now. */
+/* Loads the versions of the last OWNER_SETTLE_MS from a peer, with the times
+ * at which the peer applied them.  Without a reachable peer, loads the
+ * platform's last two versions, as applied now. */
 void
 fleet_t::load_conf_history(int i)
 {
@@ -210,7 +210,7 @@
             continue;
         }
         if (core_history_is_complete(inst[j].core)) {
-            core_history_complete(inst[i].core);
+            core_set_history_complete(inst[i].core);
         }
         for (auto &[version, when] : inst[j].applied_at) {
             apply_conf(i, version, when);
@@ -218,7 +218,7 @@
         return;
     }
     if (bootstrapping) {
-        core_history_complete(inst[i].core);
+        core_set_history_complete(inst[i].core);
     }
     deliver_conf(i, versions.size());
 }
@@ -334,8 +334,9 @@
     conf_upstream_t entry = upstream_conf[u];
     upstream_conf.erase(u);
     push_conf();
-    after(rng_below(&rng, 500),
-          [=] { restart_upstream(u, TRUST_MS + opt.jitter_ms + 1, service); });
+    after(rng_below(&rng, 500), [=] {
+        restart_upstream(u, IDENTITY_LEASE_MS + opt.jitter_ms + 1, service);
+    });
     after(1000 + rng_below(&rng, 2000), [=] {
         upstream_conf[u] = entry;
         upstream_conf[u].draining = false;
@@ -798,7 +799,7 @@
         return last_forwarder[c.id];
     }
     for (auto &n : inst) {
-        owner = n.alive ? core_home(n.core, &service, &c.client) : owner;
+        owner = n.alive ? core_owner(n.core, &service, &c.client) : owner;
     }
     for (int i = 0; i < (int)inst.size(); i++) {
         if (inst[i].id == owner) {
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -191,8 +191,8 @@
     void set_weight(int u, int weight);
     void add_upstream(int service);
     void push_conf();
-    /* Down for DURATION ms, at least TRUST_MS, then up with a new epoch and
-     * SERVICE (-1: unchanged). */
+    /* Down for DURATION ms, at least IDENTITY_LEASE_MS, then up with a new
+     * epoch and SERVICE (-1: unchanged). */
     void restart_upstream(int u, ms_t duration, int service = -1);
     void kill_upstream(int u);
     void reassign_upstream(int u, int service);
--- a/test/fleet_ends.cc
+++ b/test/fleet_ends.cc
@@ -126,7 +126,7 @@
         return;
     }
     kill_upstream(u);
-    after(std::max<ms_t>(duration, TRUST_MS), [=] {
+    after(std::max<ms_t>(duration, IDENTITY_LEASE_MS), [=] {
         upstreams[u].running = true;
         upstreams[u].up_at = now;
         upstreams[u].draining = false;
@@ -258,7 +258,7 @@
     std::string by;
     uint64_t key = record_key(client, (uint16_t)mid);
     auto it = x.records.find(key);
-    if (it == x.records.end() || now - it->second.at > EXCHANGE_MS ||
+    if (it == x.records.end() || now - it->second.at > EXCHANGE_LIFETIME_MS ||
         it->second.state == record_t::QUEUED || it->second.shed) {
         record_t &t = x.records[key];
         if (t.cancelled_by.empty()) {
@@ -340,7 +340,7 @@
     }
     uint64_t key = record_key(h.client, m.mid);
     auto it = x.records.find(key);
-    if (it != x.records.end() && now - it->second.at <= EXCHANGE_MS) {
+    if (it != x.records.end() && now - it->second.at <= EXCHANGE_LIFETIME_MS) {
         it->second.source = source;
         upstream_answer_duplicate(u, it->second, h, m);
         return;
--- a/test/script.cc
+++ b/test/script.cc
@@ -166,7 +166,8 @@
         f.reassign_upstream(parse_upstream(f, w[1]), parse_service(w[2]));
     }
     else if (v == "up-restart") {
-        f.restart_upstream(parse_upstream(f, w[1]), int_arg(w, 2, TRUST_MS));
+        f.restart_upstream(parse_upstream(f, w[1]),
+                           int_arg(w, 2, IDENTITY_LEASE_MS));
     }
     else if (v == "up-kill") {
         f.kill_upstream(parse_upstream(f, w[1]));
