--- a/bench/member_bench.c
+++ b/bench/member_bench.c
@@ -254,7 +254,7 @@
     k = members_list(source->m, &list);
     for (size_t i = 0; i < k; i++) {
         if (is_alive(&list[i])) {
-            members_learn(n->m, fleet.now, &list[i]);
+            members_add_peer(n->m, fleet.now, &list[i]);
         }
     }
     members_set_version(n->m, fleet.now, self_of(source->m)->version, 1);
@@ -524,7 +524,7 @@
     for (int i = 0; looks < 200; i++) {
         const members_t *m = fleet.node[i % fleet.n].m;
         if (m != NULL) {
-            members_watches(m, 2);
+            members_watches_platform(m, 2);
             looks++;
         }
     }
--- a/core/core.h
+++ b/core/core.h
@@ -128,8 +128,8 @@
 uint64_t core_version(const core_t *c);
 
 /* Updates the members.  LIST is as from members_list(); UNCERTAIN_AT and
- * LOWEST_VERSION are those of members_doubt_at() and members_lowest_version().
- * On -ENOMEM the previous list stays. */
+ * LOWEST_VERSION are those of members_uncertain_at() and
+ * members_lowest_version().  On -ENOMEM the previous list stays. */
 int core_set_members(core_t *c, ms_t now, const member_t *list, size_t n,
                      ms_t uncertain_at, uint64_t lowest_version);
 
--- a/member/member.h
+++ b/member/member.h
@@ -51,19 +51,21 @@
 } member_t;
 
 typedef struct {
-    ms_t period_ms;     /* ping period */
-    ms_t ack_ms;        /* timeout before a ping-req */
-    ms_t suspect_ms;    /* from an unanswered ping to SUSPECT */
-    ms_t gone_ms;       /* from SUSPECT and off the platform's list to GONE */
-    ms_t forget_ms;     /* from GONE to the removal of the record */
-    int indirect;       /* peers that receive a ping-req */
-    int gossip_per_msg; /* limit of gossiped member records per message */
+    ms_t period_ms;          /* ping period */
+    ms_t ping_timeout_ms;    /* timeout before a ping-req */
+    ms_t suspect_timeout_ms; /* from an unanswered ping to SUSPECT */
+    ms_t gone_timeout_ms;    /* from SUSPECT and off the platform's list to
+                              * GONE */
+    ms_t forget_timeout_ms;  /* from GONE to the removal of the record */
+    int ping_req_fanout;     /* peers that receive a ping-req */
+    int gossip_per_msg;      /* limit of gossiped member records per message */
 } member_params_t;
 
 #define MEMBER_PARAMS_DEFAULT                                                 \
     {                                                                         \
-        .period_ms = 200, .ack_ms = 150, .suspect_ms = 600, .gone_ms = 60000, \
-        .forget_ms = 3600000, .indirect = 2, .gossip_per_msg = 6              \
+        .period_ms = 200, .ping_timeout_ms = 150, .suspect_timeout_ms = 600,  \
+        .gone_timeout_ms = 60000, .forget_timeout_ms = 3600000,               \
+        .ping_req_fanout = 2, .gossip_per_msg = 6                             \
     }
 
 typedef struct members members_t;
@@ -104,10 +106,10 @@
 int members_receive(members_t *m, ms_t now, uint64_t from, const uint8_t *body,
                     size_t len);
 /* Adds a peer from the settings or the platform's list; ignores known ones. */
-void members_learn(members_t *m, ms_t now, const member_t *peer);
+void members_add_peer(members_t *m, ms_t now, const member_t *peer);
 /* Applies a reading of the platform's list: suspects missing from it may
  * become GONE. */
-void members_listed(members_t *m, ms_t now, const uint64_t *ids, size_t n);
+void members_apply_list(members_t *m, ms_t now, const uint64_t *ids, size_t n);
 
 /* Set the instance's own state and version in force.  After GONE, which
  * announces a clean leave, call members_tick() until members_acked(), for
@@ -140,7 +142,7 @@
  * which a member disappeared without leaving; INT64_MIN: never.  While this is
  * recent, ownership is uncertain: two instances may both believe that they own
  * a flow. */
-ms_t members_doubt_at(const members_t *m, ms_t now);
+ms_t members_uncertain_at(const members_t *m, ms_t now);
 /* The lowest version in force among the members that are not GONE.  A JOINING
  * member without a version makes no decisions and is left out.  A member from
  * which no message has arrived yet counts as version 0. */
@@ -148,7 +150,7 @@
 /* True when self is one of the WATCHERS instances of its data centre (lowest
  * rank by hash among ACTIVE) that watch the platform for the others.  A
  * JOINING self is one while fewer than WATCHERS instances are ACTIVE. */
-bool members_watches(const members_t *m, int watchers);
+bool members_watches_platform(const members_t *m, int watchers);
 
 #ifdef __cplusplus
 }
--- a/member/members.c
+++ b/member/members.c
@@ -226,7 +226,7 @@
 {
     probe->retries++;
     send_msg(m, now, probe->peer, MSG_PING, probe->seq, 0);
-    for (int i = 0; i < m->params.indirect; i++) {
+    for (int i = 0; i < m->params.ping_req_fanout; i++) {
         peer_t *helper = pick_random(m, probe->peer);
         if (helper != NULL) {
             send_msg(m, now, helper, MSG_PING_REQ, probe->seq,
@@ -255,11 +255,11 @@
     if (probe->peer->last_heartbeat > probe->sent_at) {
         probe->peer = NULL;
     }
-    else if (age >= m->params.suspect_ms) {
+    else if (age >= m->params.suspect_timeout_ms) {
         suspect(m, now, probe->peer);
         probe->peer = NULL;
     }
-    else if (age >= (probe->retries + 1) * m->params.ack_ms) {
+    else if (age >= (probe->retries + 1) * m->params.ping_timeout_ms) {
         retry_probe(m, now, probe);
     }
 }
@@ -284,12 +284,12 @@
     ms_t gap = now - m->last_tick;
 
     m->last_tick = now;
-    if (gap < m->params.suspect_ms / 2) {
+    if (gap < m->params.suspect_timeout_ms / 2) {
         return;
     }
     drop_probes(m, NULL);
     m->stats.pauses++;
-    if (gap >= m->params.suspect_ms) {
+    if (gap >= m->params.suspect_timeout_ms) {
         m->uncertain_at = now;
     }
 }
@@ -300,7 +300,7 @@
     for (size_t i = m->n; i-- > 0;) {
         const member_t *r = &m->list[i];
         if (r->state != MEMBER_GONE || r->id == m->self_id ||
-            now - r->changed_at < m->params.forget_ms) {
+            now - r->changed_at < m->params.forget_timeout_ms) {
             continue;
         }
         m->stats.count[MEMBER_GONE]--;
@@ -546,7 +546,7 @@
 }
 
 void
-members_learn(members_t *m, ms_t now, const member_t *peer)
+members_add_peer(members_t *m, ms_t now, const member_t *peer)
 {
     peer_t *p = table_find(m, peer->id);
     member_t r = *peer;
@@ -568,7 +568,7 @@
 confirm_gone(members_t *m, ms_t now, peer_t *p)
 {
     const member_t *r = rec_of(m, p);
-    ms_t gone_ms = m->params.gone_ms;
+    ms_t gone_timeout_ms = m->params.gone_timeout_ms;
 
     if (p->list_round == m->list_round) {
         p->unlisted_at = MS_NEVER;
@@ -577,14 +577,15 @@
     if (p->unlisted_at == MS_NEVER) {
         p->unlisted_at = now;
     }
-    if (r->state == MEMBER_SUSPECT && now - p->unlisted_at >= gone_ms &&
-        now - r->changed_at >= gone_ms) {
+    if (r->state == MEMBER_SUSPECT &&
+        now - p->unlisted_at >= gone_timeout_ms &&
+        now - r->changed_at >= gone_timeout_ms) {
         view_set_state(m, now, p, MEMBER_GONE);
     }
 }
 
 void
-members_listed(members_t *m, ms_t now, const uint64_t *ids, size_t n)
+members_apply_list(members_t *m, ms_t now, const uint64_t *ids, size_t n)
 {
     m->list_round++;
     for (size_t i = 0; i < n; i++) {
@@ -687,7 +688,7 @@
 }
 
 ms_t
-members_doubt_at(const members_t *m, ms_t now)
+members_uncertain_at(const members_t *m, ms_t now)
 {
     return m->stats.count[MEMBER_SUSPECT] > 0 ? now : m->uncertain_at;
 }
@@ -725,7 +726,7 @@
 }
 
 bool
-members_watches(const members_t *m, int watchers)
+members_watches_platform(const members_t *m, int watchers)
 {
     const member_t *self = self_of(m);
     int before = 0;
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -194,9 +194,9 @@
         others++;
         memcpy(m.name, in->name, sizeof(m.name));
         memcpy(m.data_centre, in->data_centre, sizeof(m.data_centre));
-        members_learn(c->members, c->now, &m);
+        members_add_peer(c->members, c->now, &m);
     }
-    members_listed(c->members, c->now, ids, n->list.n);
+    members_apply_list(c->members, c->now, ids, n->list.n);
     c->listed_alone = listed && others == 0;
     free(ids);
 }
@@ -231,7 +231,7 @@
     const member_t *list;
     size_t n;
     uint32_t peers = 0;
-    ms_t uncertain_at = members_doubt_at(c->members, c->now);
+    ms_t uncertain_at = members_uncertain_at(c->members, c->now);
     uint64_t lowest_version = members_lowest_version(c->members);
 
     if (!c->members_changed && uncertain_at == c->core_uncertain_at &&
@@ -263,7 +263,7 @@
     members_tick(c->members, c->now);
     core_tick(c->core, c->now);
     SHARED_SET(c->d, watches,
-               members_watches(c->members, WATCHERS_PER_DATA_CENTRE));
+               members_watches_platform(c->members, WATCHERS_PER_DATA_CENTRE));
     life_tick(c);
     if (c->ports != NULL && c->ports->missing &&
         c->now - c->ports_at >= PORTS_RETRY_MS) {
@@ -318,7 +318,7 @@
         memcpy(m.name, p->name, sizeof(m.name));
         memcpy(m.data_centre, p->data_centre, sizeof(m.data_centre));
         if (m.id != c->d->self) {
-            members_learn(c->members, c->d->started, &m);
+            members_add_peer(c->members, c->d->started, &m);
         }
     }
 }
--- a/test/member_test.cc
+++ b/test/member_test.cc
@@ -138,7 +138,7 @@
         for (int s : seeds) {
             member_t peer = describe(s, 0);
             if (s != i) {
-                members_learn(n.m, now, &peer);
+                members_add_peer(n.m, now, &peer);
             }
         }
     }
@@ -274,7 +274,7 @@
     bool
     uncertain(int i, ms_t within)
     {
-        ms_t at = members_doubt_at(node[i]->m, now);
+        ms_t at = members_uncertain_at(node[i]->m, now);
         return at != INT64_MIN && now - at < within;
     }
 };
@@ -347,7 +347,7 @@
 // An instance is killed.  The next member that pings it gets no answer, sends
 // two ping-reqs and suspects it; gossip reaches all members within seconds. It
 // stays SUSPECT, and ownership uncertain, until two readings of the platform's
-// list, gone_ms apart, are without it.
+// list, gone_timeout_ms apart, are without it.
 TEST(Member, KilledInstanceIsSuspectedThenGone)
 {
     auto net = fleet(8, 3);
@@ -360,12 +360,12 @@
             ids.push_back(instance_id(describe(i, 0).name));
         }
     }
-    members_listed(net->node[0]->m, net->now, ids.data(), ids.size());
+    members_apply_list(net->node[0]->m, net->now, ids.data(), ids.size());
     net->run(59000);
     EXPECT_EQ(7, net->seen(5, MEMBER_SUSPECT));
     EXPECT_TRUE(net->uncertain(0, 1));
     net->run(2000);
-    members_listed(net->node[0]->m, net->now, ids.data(), ids.size());
+    members_apply_list(net->node[0]->m, net->now, ids.data(), ids.size());
     net->run(4000);
     EXPECT_EQ(7, net->seen(5, MEMBER_GONE));
     EXPECT_FALSE(net->uncertain(0, 1000));
@@ -381,12 +381,12 @@
     net->kill(3);
     net->run(4000);
     uint64_t ids[] = {describe(0, 0).id, describe(1, 0).id, describe(2, 0).id};
-    members_listed(net->node[0]->m, net->now, ids, 3);
+    members_apply_list(net->node[0]->m, net->now, ids, 3);
     net->run(120000);
     EXPECT_EQ(3, net->seen(3, MEMBER_SUSPECT));
     net->kill(2);
     net->run(70000);
-    members_listed(net->node[0]->m, net->now, ids, 2);
+    members_apply_list(net->node[0]->m, net->now, ids, 2);
     EXPECT_EQ(2, net->seen(2, MEMBER_SUSPECT));
 }
 
@@ -492,9 +492,9 @@
     EXPECT_EQ(5, net->seen(8, MEMBER_SUSPECT));
     EXPECT_EQ(4, net->seen(8, MEMBER_ACTIVE));
     uint64_t id = instance_id(describe(0, 0).name);
-    members_listed(net->node[0]->m, net->now, &id, 1);
+    members_apply_list(net->node[0]->m, net->now, &id, 1);
     net->run(61000);
-    members_listed(net->node[0]->m, net->now, &id, 1);
+    members_apply_list(net->node[0]->m, net->now, &id, 1);
     net->run(10000);
     EXPECT_EQ(5, net->seen(8, MEMBER_GONE));
     for (auto &n : net->node) {
@@ -538,7 +538,7 @@
     auto net = fleet(9, 11);
     int watching[2] = {0, 0};
     for (int i = 0; i < 9; i++) {
-        watching[i % 2] += members_watches(net->node[i]->m, 2);
+        watching[i % 2] += members_watches_platform(net->node[i]->m, 2);
     }
     EXPECT_EQ(2, watching[0]);
     EXPECT_EQ(2, watching[1]);
@@ -566,7 +566,7 @@
             member_t peer = describe(k, 0);
             memset(peer.name, 'x', NAME_LEN - 1);
             memset(peer.data_centre, 'y', NAME_LEN - 1);
-            members_learn(net->node[i]->m, net->now, &peer);
+            members_add_peer(net->node[i]->m, net->now, &peer);
         }
     }
     net->run(20000);
