--- a/bench/conf_bench.c
+++ b/bench/conf_bench.c
@@ -252,7 +252,7 @@
     meter_t m;
 
     meter_start(&m, p);
-    if (plat_config(p, &b, &revision, &e) < 0) {
+    if (plat_read_config(p, &b, &revision, &e) < 0) {
         die("read", &e);
     }
     meter_print(&m);
--- a/plat/apply.c
+++ b/plat/apply.c
@@ -51,7 +51,7 @@
 }
 
 int
-plat_config(plat_t *p, conf_bundle_t *b, uint64_t *revision, err_t *e)
+plat_read_config(plat_t *p, conf_bundle_t *b, uint64_t *revision, err_t *e)
 {
     layout_t l;
 
@@ -59,7 +59,7 @@
 }
 
 int
-plat_expand(plat_t *p, const char *value, conf_bundle_t *b, err_t *e)
+plat_read_bundle(plat_t *p, const char *value, conf_bundle_t *b, err_t *e)
 {
     layout_t l;
 
@@ -71,11 +71,12 @@
 static void
 history_key(char *buf, size_t cap, uint64_t version)
 {
-    snprintf(buf, cap, PLAT_HISTORY_KEY, (unsigned)(version % PLAT_HISTORY));
+    snprintf(buf, cap, PLAT_HISTORY_KEY,
+             (unsigned)(version % PLAT_HISTORY_LEN));
 }
 
 int
-plat_history(plat_t *p, uint64_t version, conf_bundle_t *b, err_t *e)
+plat_read_history(plat_t *p, uint64_t version, conf_bundle_t *b, err_t *e)
 {
     char key[64];
     char *json;
@@ -89,7 +90,7 @@
         return rc;
     }
     if (json != NULL) {
-        rc = plat_expand(p, json, b, e);
+        rc = plat_read_bundle(p, json, b, e);
         free(json);
     }
     if (rc == -ESTALE || (rc == 0 && b->version != version)) {
--- a/plat/client.c
+++ b/plat/client.c
@@ -76,7 +76,7 @@
 protocol_error(const plat_t *p, const http_call_t *c, const http_reply_t *r,
                err_t *e)
 {
-    return err_set(e, -EPROTO, c->step, http_peer(p->http),
+    return err_set(e, -EPROTO, c->step, http_url(p->http),
                    "answered with status %ld, \"%.80s\"; expected the "
                    "platform's JSON",
                    r->status, r->body);
@@ -164,7 +164,7 @@
     *revision = parse_revision(body);
     json_decref(body);
     if (r.status == 409) {
-        return err_set(e, -EAGAIN, c.step, http_peer(p->http),
+        return err_set(e, -EAGAIN, c.step, http_url(p->http),
                        "another write came first (revision %llu; expected "
                        "%llu)",
                        (unsigned long long)*revision, (unsigned long long)cas);
@@ -196,7 +196,7 @@
         return rc;
     }
     if (r.status == 409) {
-        return err_set(e, -EBUSY, c->step, http_peer(p->http),
+        return err_set(e, -EBUSY, c->step, http_url(p->http),
                        "another holds lease %s: %.80s", name, r.body);
     }
     return r.status == 200 ? 0 : protocol_error(p, c, &r, e);
@@ -211,7 +211,7 @@
 }
 
 int
-plat_lease_drop(plat_t *p, const char *name, const char *owner, err_t *e)
+plat_lease_release(plat_t *p, const char *name, const char *owner, err_t *e)
 {
     http_call_t c = {.method = HTTP_DELETE, .step = "platform lease drop"};
 
--- a/plat/http.c
+++ b/plat/http.c
@@ -110,12 +110,13 @@
     curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(c, CURLOPT_PROXY, "");
     curl_easy_setopt(c, CURLOPT_PROTOCOLS_STR, "http");
-    curl_easy_setopt(
-        c, CURLOPT_CONNECTTIMEOUT_MS,
-        (long)(call->connect_ms > 0 ? call->connect_ms : CONNECT_TIMEOUT_MS));
+    curl_easy_setopt(c, CURLOPT_CONNECTTIMEOUT_MS,
+                     (long)(call->connect_timeout_ms > 0
+                                ? call->connect_timeout_ms
+                                : CONNECT_TIMEOUT_MS));
     curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(c, CURLOPT_WRITEDATA, h);
-    if (call->packed) {
+    if (call->accept_zstd) {
         curl_easy_setopt(c, CURLOPT_ACCEPT_ENCODING, "zstd");
     }
     if (call->body != NULL || call->method == HTTP_POST) {
@@ -168,9 +169,9 @@
                 progress_t *p)
 {
     curl_off_t bytes = 0;
-    ms_t last, stalled = now + call->stall_ms;
+    ms_t last, stalled = now + call->stall_timeout_ms;
 
-    if (call->stall_ms == 0 ||
+    if (call->stall_timeout_ms == 0 ||
         curl_easy_getinfo(h->curl, CURLINFO_SIZE_DOWNLOAD_T, &bytes) !=
             CURLE_OK ||
         bytes == p->bytes) {
@@ -178,7 +179,7 @@
     }
     p->bytes = bytes;
     p->first_byte_at = p->first_byte_at == MS_NEVER ? now : p->first_byte_at;
-    last = p->first_byte_at + HTTP_TRANSFER_MAX_MS;
+    last = p->first_byte_at + HTTP_TRANSFER_TIMEOUT_MS;
     p->deadline = stalled < last ? stalled : last;
     if (call->on_progress != NULL) {
         long status = 0;
@@ -275,7 +276,7 @@
 }
 
 const char *
-http_peer(const http_t *h)
+http_url(const http_t *h)
 {
     return h->url;
 }
--- a/plat/http.h
+++ b/plat/http.h
@@ -16,23 +16,24 @@
 
 typedef struct {
     http_method_t method;
-    const char *path; /* appended to the server's URL; escaped */
-    const char *body; /* NULL: none */
-    ms_t timeout_ms;  /* for the first bytes of the answer; with STALL_MS 0
-                       * for the complete answer */
-    const char *step; /* operation, named in errors */
-    bool packed;      /* accept a compressed answer (zstd) */
-    ms_t connect_ms;  /* connection timeout, part of TIMEOUT_MS; 0: 1,000 */
-    ms_t stall_ms;    /* longest pause within an answer, whose transfer may
-                       * take HTTP_TRANSFER_MAX_MS in total; 0: no stall
-                       * timeout, TIMEOUT_MS applies */
+    const char *path;        /* appended to the server's URL; escaped */
+    const char *body;        /* NULL: none */
+    ms_t timeout_ms;         /* for the first bytes of the answer; with
+                              * STALL_TIMEOUT_MS 0 for the complete answer */
+    const char *step;        /* operation, named in errors */
+    bool accept_zstd;        /* accept a compressed answer (zstd) */
+    ms_t connect_timeout_ms; /* connection timeout, part of TIMEOUT_MS;
+                              * 0: 1,000 */
+    ms_t stall_timeout_ms;   /* longest pause within an answer, whose transfer
+                              * may take HTTP_TRANSFER_TIMEOUT_MS in total;
+                              * 0: no stall timeout, TIMEOUT_MS applies */
     /* Called when further bytes of an answer with STATUS have arrived, if
-     * STALL_MS is set; may be NULL. */
+     * STALL_TIMEOUT_MS is set; may be NULL. */
     void (*on_progress)(void *arg, long status);
     void *arg;
 } http_call_t;
 
-#define HTTP_TRANSFER_MAX_MS 5000
+#define HTTP_TRANSFER_TIMEOUT_MS 5000
 
 typedef struct {
     long status;
@@ -52,7 +53,7 @@
 char *http_escape(http_t *h, const char *s);
 void http_escape_free(char *s);
 /* The server's URL, for error messages. */
-const char *http_peer(const http_t *h);
+const char *http_url(const http_t *h);
 
 #ifdef __cplusplus
 }
--- a/plat/plat.h
+++ b/plat/plat.h
@@ -31,11 +31,12 @@
 #endif
 
 #define PLAT_CONFIG_KEY "siskin/config"
-/* Earlier versions; the key's number is the version modulo PLAT_HISTORY. */
+/* Earlier versions; the key's number is the version modulo
+ * PLAT_HISTORY_LEN. */
 #define PLAT_HISTORY_KEY "siskin/history/%u"
-#define PLAT_HISTORY 16
+#define PLAT_HISTORY_LEN 16
 /* Parts of long texts, in a fixed number of slots (plat/store.h). */
-#define PLAT_TEXT_KEY "siskin/text/%u"
+#define PLAT_PART_KEY "siskin/text/%u"
 #define PLAT_VALUE_MAX (1000 * 1000) /* bytes of a value, service limit */
 
 typedef struct plat plat_t;
@@ -63,7 +64,8 @@
 /* Acquires or renews a lease.  -EBUSY: held by another owner. */
 int plat_lease(plat_t *p, const char *name, const char *owner, ms_t ms,
                err_t *e);
-int plat_lease_drop(plat_t *p, const char *name, const char *owner, err_t *e);
+int plat_lease_release(plat_t *p, const char *name, const char *owner,
+                       err_t *e);
 
 /* One entry of the instance list, which lags behind the actual state. */
 typedef struct {
@@ -104,35 +106,36 @@
 /* ---- Recent versions, as sent to peers ---- */
 
 /* Limit of deltas kept; at least half as many versions are kept. */
-#define STEPS_MAX 8
+#define VERSION_STEPS_MAX 8
 
 /* The delta from the preceding version to VERSION. */
 typedef struct {
     uint64_t version;
-    ms_t at; /* when it took effect on this instance */
+    ms_t activated_at; /* when it took effect on this instance */
     blob_t delta;
-} step_t;
+} version_step_t;
 
 /* The newest bundle's JSON, and the deltas from recent versions to it. */
 typedef struct {
     uint64_t version; /* 0: none yet */
     blob_t json;
-    step_t first; /* the oldest version kept, in full */
-    bool dropped; /* older versions have been dropped */
+    version_step_t oldest; /* the oldest version kept, in full */
+    bool truncated;        /* older versions have been dropped */
     size_t n;
-    step_t step[STEPS_MAX];
+    version_step_t step[VERSION_STEPS_MAX];
 } versions_t;
 
 void versions_free(versions_t *v);
 /* Adds a newer version and takes ownership of JSON (malloc), also on failure.
  * -ESTALE: VERSION is not newer. */
-int versions_add(versions_t *v, uint64_t version, ms_t at, char *json);
+int versions_add(versions_t *v, uint64_t version, ms_t activated_at,
+                 char *json);
 /* Stores in OUT the steps from version HAVE to the newest, oldest first, and
  * returns their number, 0 when HAVE is the newest.  When HAVE is not among the
- * versions kept, *WHOLE is set and the first step is a full version.  Pointers
+ * versions kept, *FULL is set and the first step is a full version.  Pointers
  * are valid until the next versions_add(). */
-size_t versions_steps(const versions_t *v, uint64_t have, bool *whole,
-                      const step_t *out[STEPS_MAX + 1]);
+size_t versions_steps(const versions_t *v, uint64_t have, bool *full,
+                      const version_step_t *out[VERSION_STEPS_MAX + 1]);
 
 /* ---- The accepted configuration ---- */
 
@@ -190,13 +193,14 @@
                conf_bundle_t *theirs, err_t *e);
 
 /* Reads the version in force; *B is zeroed when there is none. */
-int plat_config(plat_t *p, conf_bundle_t *b, uint64_t *revision, err_t *e);
+int plat_read_config(plat_t *p, conf_bundle_t *b, uint64_t *revision,
+                     err_t *e);
 /* Creates the bundle from VALUE, read from PLAT_CONFIG_KEY.  Fetches the parts
  * that VALUE refers to and this client has not cached.  -ESTALE: VALUE or a
  * part is stale. */
-int plat_expand(plat_t *p, const char *value, conf_bundle_t *b, err_t *e);
+int plat_read_bundle(plat_t *p, const char *value, conf_bundle_t *b, err_t *e);
 /* Reads an earlier version.  -ENOENT: no longer kept. */
-int plat_history(plat_t *p, uint64_t version, conf_bundle_t *b, err_t *e);
+int plat_read_history(plat_t *p, uint64_t version, conf_bundle_t *b, err_t *e);
 
 #ifdef __cplusplus
 }
--- a/plat/slots.c
+++ b/plat/slots.c
@@ -9,9 +9,9 @@
  * head is in force, the crashed writer's head can no longer be written, and
  * the slot is free again.
  *
- * A slot is reused only when none of the last PLAT_HISTORY versions uses it,
- * so that a reader with a stale head, or of an earlier version, still finds
- * the parts.
+ * A slot is reused only when none of the last PLAT_HISTORY_LEN versions uses
+ * it, so that a reader with a stale head, or of an earlier version, still
+ * finds the parts.
  */
 #include "plat/store.h"
 
@@ -64,7 +64,7 @@
     if (w->tried[slot] || in_use(w->cur, slot) || in_use(w->next, slot)) {
         return false;
     }
-    return evict_history || last == 0 || last + PLAT_HISTORY < w->version;
+    return evict_history || last == 0 || last + PLAT_HISTORY_LEN < w->version;
 }
 
 /* A free slot, or -1.  Slots of earlier versions are reused only when there is
@@ -119,7 +119,7 @@
     char key[64];
     int rc;
 
-    snprintf(key, sizeof(key), PLAT_TEXT_KEY, (unsigned)slot);
+    snprintf(key, sizeof(key), PLAT_PART_KEY, (unsigned)slot);
     rc = plat_put(w->p, key, stored, w->cur->revision[slot], &revision, w->e);
     if (revision > w->next->revision[slot]) {
         w->next->revision[slot] = revision;
--- a/plat/store.c
+++ b/plat/store.c
@@ -25,7 +25,7 @@
 static void
 part_key(char *key, size_t cap, uint32_t slot)
 {
-    snprintf(key, cap, PLAT_TEXT_KEY, (unsigned)slot);
+    snprintf(key, cap, PLAT_PART_KEY, (unsigned)slot);
 }
 
 /* ---- Layout ---- */
--- a/plat/store.h
+++ b/plat/store.h
@@ -1,6 +1,6 @@
 /* store: storage format of a version in the platform's keys.  Short texts are
  * stored in the head, the value of PLAT_CONFIG_KEY.  Longer ones are split
- * into parts, each stored in one of a fixed number of slots (PLAT_TEXT_KEY);
+ * into parts, each stored in one of a fixed number of slots (PLAT_PART_KEY);
  * the head then lists the slot and the hash of each part.
  */
 #ifndef SISKIN_STORE_H
--- a/plat/versions.c
+++ b/plat/versions.c
@@ -15,7 +15,7 @@
 versions_free(versions_t *v)
 {
     blob_free(&v->json);
-    blob_free(&v->first.delta);
+    blob_free(&v->oldest.delta);
     for (size_t i = 0; i < v->n; i++) {
         blob_free(&v->step[i].delta);
     }
@@ -24,7 +24,7 @@
 
 /* Applies STEP to TEXT in place. */
 static int
-apply_step(blob_t *text, const step_t *step)
+apply_step(blob_t *text, const version_step_t *step)
 {
     blob_t next;
     int rc = delta_apply(text, &step->delta, BLOB_MAX, &next);
@@ -38,10 +38,10 @@
 
 /* The version after N steps, as a step that contains it in full. */
 static int
-full_step_at(const versions_t *v, size_t n, step_t *out)
+full_step_at(const versions_t *v, size_t n, version_step_t *out)
 {
     blob_t text = {0};
-    int rc = apply_step(&text, &v->first);
+    int rc = apply_step(&text, &v->oldest);
 
     for (size_t i = 0; rc == 0 && i < n; i++) {
         rc = apply_step(&text, &v->step[i]);
@@ -55,24 +55,24 @@
 }
 
 /* Drops the older half of a full array of steps.  Half at a time, since the
- * new first version has to be reconstructed and compressed in full. */
+ * new oldest version has to be reconstructed and compressed in full. */
 static int
 drop_older_half(versions_t *v)
 {
-    const size_t half = STEPS_MAX / 2;
-    step_t first;
+    const size_t half = VERSION_STEPS_MAX / 2;
+    version_step_t oldest;
     int rc;
 
-    if (v->n < STEPS_MAX) {
+    if (v->n < VERSION_STEPS_MAX) {
         return 0;
     }
-    rc = full_step_at(v, half, &first);
+    rc = full_step_at(v, half, &oldest);
     if (rc < 0) {
         return rc;
     }
-    blob_free(&v->first.delta);
-    v->first = first;
-    v->dropped = true;
+    blob_free(&v->oldest.delta);
+    v->oldest = oldest;
+    v->truncated = true;
     for (size_t i = 0; i < half; i++) {
         blob_free(&v->step[i].delta);
     }
@@ -82,9 +82,10 @@
 }
 
 static int
-add_step(versions_t *v, uint64_t version, ms_t at, const blob_t *json)
+add_step(versions_t *v, uint64_t version, ms_t activated_at,
+         const blob_t *json)
 {
-    step_t step = {.version = version, .at = at};
+    version_step_t step = {.version = version, .activated_at = activated_at};
     int rc = drop_older_half(v);
 
     if (rc == 0) {
@@ -94,7 +95,7 @@
         return rc;
     }
     if (v->version == 0) {
-        v->first = step;
+        v->oldest = step;
     }
     else {
         v->step[v->n++] = step;
@@ -103,10 +104,11 @@
 }
 
 int
-versions_add(versions_t *v, uint64_t version, ms_t at, char *json)
+versions_add(versions_t *v, uint64_t version, ms_t activated_at, char *json)
 {
     blob_t text = {(uint8_t *)json, strlen(json)};
-    int rc = version > v->version ? add_step(v, version, at, &text) : -ESTALE;
+    int rc = version > v->version ? add_step(v, version, activated_at, &text)
+                                  : -ESTALE;
 
     if (rc < 0) {
         blob_free(&text);
@@ -118,12 +120,12 @@
     return 0;
 }
 
-/* The number of steps from the first version to HAVE, or -1 when HAVE is not
+/* The number of steps from the oldest version to HAVE, or -1 when HAVE is not
  * kept. */
 static int
 steps_to_version(const versions_t *v, uint64_t have)
 {
-    if (have == v->first.version) {
+    if (have == v->oldest.version) {
         return 0;
     }
     for (size_t i = 0; i < v->n; i++) {
@@ -135,20 +137,20 @@
 }
 
 size_t
-versions_steps(const versions_t *v, uint64_t have, bool *whole,
-               const step_t *out[STEPS_MAX + 1])
+versions_steps(const versions_t *v, uint64_t have, bool *full,
+               const version_step_t *out[VERSION_STEPS_MAX + 1])
 {
     size_t n = 0;
     int from;
 
-    *whole = false;
+    *full = false;
     if (have >= v->version) {
         return 0;
     }
     from = steps_to_version(v, have);
     if (from < 0) {
-        *whole = true;
-        out[n++] = &v->first;
+        *full = true;
+        out[n++] = &v->oldest;
         from = 0;
     }
     for (size_t i = (size_t)from; i < v->n; i++) {
--- a/siskinctl/apply.c
+++ b/siskinctl/apply.c
@@ -26,7 +26,7 @@
 
     *r = (race_t){.on = on};
     r->between = ctl_diff(theirs, mine);
-    if (on == 0 || plat_history(p, on, &base, NULL) == 0) {
+    if (on == 0 || plat_read_history(p, on, &base, NULL) == 0) {
         r->mine = ctl_diff(&base, mine);
         r->theirs = ctl_diff(&base, theirs);
         r->collided = ctl_collisions(r->mine, r->theirs);
@@ -314,7 +314,7 @@
 {
     conf_t *before, *after;
     uint64_t revision, on;
-    int rc = plat_config(p, b, &revision, e);
+    int rc = plat_read_config(p, b, &revision, e);
 
     if (rc < 0) {
         return rc == -EIO ? -EHOSTUNREACH : rc;
--- a/siskinctl/files.c
+++ b/siskinctl/files.c
@@ -92,8 +92,9 @@
     err_t e = {0};
     uint64_t revision;
 
-    return plat_config(p, b, &revision, &e) < 0 ? ctl_fail(o, CTL_AWAY, &e)
-                                                : CTL_OK;
+    return plat_read_config(p, b, &revision, &e) < 0
+               ? ctl_fail(o, CTL_AWAY, &e)
+               : CTL_OK;
 }
 
 void
--- a/siskinctl/version.c
+++ b/siskinctl/version.c
@@ -210,7 +210,7 @@
     if (json == NULL) {
         return -ENODATA;
     }
-    rc = plat_expand(p, json, next, e);
+    rc = plat_read_bundle(p, json, next, e);
     free(json);
     if (rc < 0) {
         return rc;
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -146,7 +146,7 @@
     err_t e = {0};
 
     if (SHARED_GET(d, version) != 0 || version < 2 ||
-        plat_history(p, version - 1, &b, &e) < 0) {
+        plat_read_history(p, version - 1, &b, &e) < 0) {
         return;
     }
     offer_read(d, &b, false, &e);
@@ -158,7 +158,7 @@
 offer_head(daemon_t *d, plat_t *p, const char *head, err_t *e)
 {
     conf_bundle_t b;
-    int rc = plat_expand(p, head, &b, e);
+    int rc = plat_read_bundle(p, head, &b, e);
 
     if (rc == -EBADMSG) { /* permanent: reading again won't help */
         log_line(LVL_WARN, "watch",
--- a/siskind/reply.c
+++ b/siskind/reply.c
@@ -20,12 +20,12 @@
 }
 
 static int
-send_step(void *socket, const step_t *step, ms_t now, bool last)
+send_step(void *socket, const version_step_t *step, ms_t now, bool last)
 {
     char head[HEAD_MAX];
     int len = snprintf(head, sizeof(head), "%llu %lld",
                        (unsigned long long)step->version,
-                       (long long)(now - step->at));
+                       (long long)(now - step->activated_at));
     int rc = send_frame(socket, head, (size_t)len, true);
 
     if (rc >= 0) {
@@ -35,32 +35,32 @@
 }
 
 /* True when V still has every version that an instance needs.  With more than
- * STEPS_MAX changes in OWNER_SETTLE_MS, some of them are no longer kept.  If
- * an instance then believed its history complete, it would run requests again
- * that an upstream of a missing version still holds.  Otherwise its ownership
- * stays uncertain for OWNER_SETTLE_MS. */
+ * VERSION_STEPS_MAX changes in OWNER_SETTLE_MS, some of them are no longer
+ * kept.  If an instance then believed its history complete, it would run
+ * requests again that an upstream of a missing version still holds.  Otherwise
+ * its ownership stays uncertain for OWNER_SETTLE_MS. */
 static bool
 history_is_complete(const versions_t *v, ms_t now)
 {
-    return !v->dropped || now - v->first.at >= OWNER_SETTLE_MS;
+    return !v->truncated || now - v->oldest.activated_at >= OWNER_SETTLE_MS;
 }
 
 int
 reply_send(void *socket, const versions_t *v, uint64_t have, ms_t now,
            bool complete)
 {
-    const step_t *step[STEPS_MAX + 1];
+    const version_step_t *step[VERSION_STEPS_MAX + 1];
     char head[HEAD_MAX];
-    bool whole;
-    size_t n = versions_steps(v, have, &whole, step);
+    bool full;
+    size_t n = versions_steps(v, have, &full, step);
     int len, rc, sent;
 
     if (n == 0) {
         return send_frame(socket, "", 0, false);
     }
     len = snprintf(head, sizeof(head), "FROM %llu %d",
-                   (unsigned long long)(whole ? 0 : have),
-                   whole && complete && history_is_complete(v, now));
+                   (unsigned long long)(full ? 0 : have),
+                   full && complete && history_is_complete(v, now));
     sent = rc = send_frame(socket, head, (size_t)len, true);
     for (size_t i = 0; rc >= 0 && i < n; i++) {
         rc = send_step(socket, step[i], now, i + 1 == n);
@@ -134,8 +134,8 @@
     int rc = 0;
 
     for (int i = 0; rc == 0 && has_more(socket); i++) {
-        rc =
-            i <= STEPS_MAX ? receive_step(socket, old, &text, &age) : -EBADMSG;
+        rc = i <= VERSION_STEPS_MAX ? receive_step(socket, old, &text, &age)
+                                    : -EBADMSG;
         old = &text;
         if (rc == 0) {
             on_version(arg, &text, age, complete);
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -208,10 +208,11 @@
     ms_t slack = known ? PEER_SLACK_MS : PEER_SLACK_MS << c->late_answers;
     http_call_t call = {.path = path,
                         .timeout_ms = wait_ms + slack,
-                        .connect_ms = known ? PEER_SLACK_MS : START_CONNECT_MS,
-                        .stall_ms = PEER_STALL_MS,
+                        .connect_timeout_ms =
+                            known ? PEER_SLACK_MS : START_CONNECT_MS,
+                        .stall_timeout_ms = PEER_STALL_MS,
                         .step = "peer",
-                        .packed = true};
+                        .accept_zstd = true};
     int rc = open_client(c, a);
 
     if (rc < 0) {
--- a/test/delta_test.cc
+++ b/test/delta_test.cc
@@ -153,32 +153,32 @@
         RC_ASSERT(s.add(all.back(), text_at(all.back())) == 0);
     }
     uint64_t have = *rc::gen::elementOf(all);
-    const step_t *step[STEPS_MAX + 1];
-    bool whole;
-    size_t n = versions_steps(&s.v, have, &whole, step);
-    std::string text = whole || have == 0 ? "" : text_at(have);
+    const version_step_t *step[VERSION_STEPS_MAX + 1];
+    bool full;
+    size_t n = versions_steps(&s.v, have, &full, step);
+    std::string text = full || have == 0 ? "" : text_at(have);
     for (size_t i = 0; i < n; i++) {
         const blob_t &d = step[i]->delta;
         text = apply_delta(text, std::string((char *)d.data, d.len));
         RC_ASSERT(text == text_at(step[i]->version));
-        RC_ASSERT(step[i]->at == (ms_t)step[i]->version * 10);
+        RC_ASSERT(step[i]->activated_at == (ms_t)step[i]->version * 10);
     }
     RC_ASSERT(text == text_at(all.back()));
-    size_t kept = std::min<size_t>(all.size() - 1, STEPS_MAX / 2);
-    RC_ASSERT(!whole || have < all[all.size() - kept]);
-    RC_ASSERT(!whole || n >= kept);
-    RC_ASSERT(s.v.dropped == (s.v.first.version != all[1]));
+    size_t kept = std::min<size_t>(all.size() - 1, VERSION_STEPS_MAX / 2);
+    RC_ASSERT(!full || have < all[all.size() - kept]);
+    RC_ASSERT(!full || n >= kept);
+    RC_ASSERT(s.v.truncated == (s.v.oldest.version != all[1]));
 }
 
 TEST(Versions, OnlyNewerVersionsAreAdded)
 {
     Versions s;
-    bool whole;
-    const step_t *step[STEPS_MAX + 1];
-    EXPECT_EQ(0u, versions_steps(&s.v, 0, &whole, step));
+    bool full;
+    const version_step_t *step[VERSION_STEPS_MAX + 1];
+    EXPECT_EQ(0u, versions_steps(&s.v, 0, &full, step));
     EXPECT_EQ(0, s.add(7, "seven"));
     EXPECT_EQ(-ESTALE, s.add(7, "other"));
     EXPECT_EQ(-ESTALE, s.add(6, "six"));
-    EXPECT_EQ(0u, versions_steps(&s.v, 8, &whole, step));
+    EXPECT_EQ(0u, versions_steps(&s.v, 8, &full, step));
     EXPECT_STREQ("seven", (char *)s.v.json.data);
 }
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -79,7 +79,7 @@
     http_reply_t r;
     c.path = "/";
     c.timeout_ms = timeout_ms;
-    c.stall_ms = stall_ms;
+    c.stall_timeout_ms = stall_ms;
     c.step = "read";
     int rc = http_call(h, &c, &r, NULL);
     if (rc == 0 && body != nullptr) {
@@ -134,7 +134,7 @@
 
     c.path = "/";
     c.timeout_ms = 1000;
-    c.stall_ms = 300;
+    c.stall_timeout_ms = 300;
     c.step = "read";
     c.on_progress = [](void *arg, long status) {
         EXPECT_EQ(200, status);
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -159,7 +159,7 @@
     {
         Bundle now;
         uint64_t revision;
-        EXPECT_EQ(0, plat_config(p, &now.b, &revision, NULL));
+        EXPECT_EQ(0, plat_read_config(p, &now.b, &revision, NULL));
         return now.b.version;
     }
     int
@@ -221,7 +221,7 @@
     EXPECT_EQ(0, plat_lease(p, "watch", "a b", 60000, NULL));
     EXPECT_EQ(0, plat_lease(p, "watch", "a b", 60000, NULL));
     EXPECT_EQ(-EBUSY, plat_lease(p, "watch", "c", 60000, NULL));
-    EXPECT_EQ(0, plat_lease_drop(p, "watch", "a b", NULL));
+    EXPECT_EQ(0, plat_lease_release(p, "watch", "a b", NULL));
     EXPECT_EQ(0, plat_lease(p, "watch", "c", 60000, NULL));
 }
 
@@ -266,10 +266,10 @@
     EXPECT_EQ(0, apply(5, "two", 1));
     EXPECT_EQ(2u, version());
     Bundle first;
-    EXPECT_EQ(0, plat_history(p, 1, &first.b, NULL));
+    EXPECT_EQ(0, plat_read_history(p, 1, &first.b, NULL));
     EXPECT_STREQ("one", first.b.change_id);
     Bundle none;
-    EXPECT_EQ(-ENOENT, plat_history(p, 2, &none.b, NULL));
+    EXPECT_EQ(-ENOENT, plat_read_history(p, 2, &none.b, NULL));
 }
 
 // The operator's write takes effect, its answer is lost, and the tool retries
@@ -316,7 +316,7 @@
     Bundle seen;
     uint64_t revision;
     ASSERT_EQ(0, apply(4, "one", 0));
-    ASSERT_EQ(0, plat_config(p, &seen.b, &revision, NULL));
+    ASSERT_EQ(0, plat_read_config(p, &seen.b, &revision, NULL));
     ASSERT_EQ(0, apply(5, "two", 1));
     char *json = bundle_write(&seen.b);
     EXPECT_EQ(-EAGAIN,
@@ -406,7 +406,7 @@
                 std::string id = std::to_string(w) + "-" + std::to_string(i);
                 Bundle now, next(10 + w, id.c_str());
                 uint64_t rev;
-                if (plat_config(own, &now.b, &rev, NULL) == 0 &&
+                if (plat_read_config(own, &now.b, &rev, NULL) == 0 &&
                     plat_apply(own, &next.b, now.b.version, NULL, NULL) == 0) {
                     applied++;
                 }
@@ -456,7 +456,7 @@
         set_faults("lose_answers=0&stale_reads=0");
         Bundle now;
         uint64_t revision;
-        RC_ASSERT(plat_config(p, &now.b, &revision, NULL) == 0);
+        RC_ASSERT(plat_read_config(p, &now.b, &revision, NULL) == 0);
         int n = times_applied(&now.b, id);
         RC_ASSERT(n == (rc == 0 ? 1 : 0));
         RC_ASSERT(rc == 0 || rc == -EAGAIN || rc == -ESTALE);
@@ -517,7 +517,7 @@
     {
         plat_t *fresh = plat_new(url.c_str());
         uint64_t r;
-        EXPECT_EQ(0, plat_config(fresh, &now->b, &r, NULL));
+        EXPECT_EQ(0, plat_read_config(fresh, &now->b, &r, NULL));
         plat_free(fresh);
     }
     std::string
@@ -544,13 +544,13 @@
     Bundle first, second;
     uint64_t r;
     ASSERT_EQ(0, apply(4, "one", 0));
-    ASSERT_EQ(0, plat_config(reader, &first.b, &r, NULL));
+    ASSERT_EQ(0, plat_read_config(reader, &first.b, &r, NULL));
     EXPECT_EQ(5u, plat_calls(reader)); // the head and four parts
     uint64_t before = plat_calls(p);
     ASSERT_EQ(0, apply(5, "two", 1));
     // the head, one part, the history's read and write, the head
     EXPECT_EQ(before + 5, plat_calls(p));
-    ASSERT_EQ(0, plat_config(reader, &second.b, &r, NULL));
+    ASSERT_EQ(0, plat_read_config(reader, &second.b, &r, NULL));
     EXPECT_EQ(7u, plat_calls(reader)); // the head and one part
     EXPECT_STREQ("two", second.b.change_id);
     plat_free(reader);
