--- a/conf/conf.c
+++ b/conf/conf.c
@@ -75,7 +75,7 @@
 }
 
 const conf_service_t *
-conf_service(const conf_t *c, const char *name)
+conf_find_service(const conf_t *c, const char *name)
 {
     if (c->n_services == 0) {
         return NULL; /* bsearch() must not get a NULL array */
@@ -85,7 +85,7 @@
 }
 
 const conf_service_t *
-conf_service_at(const conf_t *c, const addr_t *addr)
+conf_find_service_by_addr(const conf_t *c, const addr_t *addr)
 {
     for (uint32_t i = 0; i < c->n_services; i++) {
         if (addr_eq(&c->services[i].addr, addr)) {
@@ -96,7 +96,7 @@
 }
 
 const conf_upstream_t *
-conf_upstream(const conf_service_t *s, uint64_t id)
+conf_find_upstream(const conf_service_t *s, uint64_t id)
 {
     uint32_t low = 0, high = s->n_upstreams;
 
--- a/conf/conf.h
+++ b/conf/conf.h
@@ -81,16 +81,18 @@
  * names of the files don't count. */
 uint64_t conf_text_hash(const conf_source_t *src, size_t n);
 
-const conf_service_t *conf_service(const conf_t *c, const char *name);
-const conf_service_t *conf_service_at(const conf_t *c, const addr_t *addr);
-const conf_upstream_t *conf_upstream(const conf_service_t *s, uint64_t id);
+const conf_service_t *conf_find_service(const conf_t *c, const char *name);
+const conf_service_t *conf_find_service_by_addr(const conf_t *c,
+                                                const addr_t *addr);
+const conf_upstream_t *conf_find_upstream(const conf_service_t *s,
+                                          uint64_t id);
 
 /* Checks that NEW may replace OLD (may be NULL).  An address may move from one
  * service to another, or between a service and an upstream, only if a version
  * without the address is in force in between.  Otherwise an instance that
  * still has OLD would use the address in its former role.  0 or -EINVAL with
  * E. */
-int conf_step_check(const conf_t *old, const conf_t *new_, err_t *e);
+int conf_check_step(const conf_t *old, const conf_t *new_, err_t *e);
 
 /* Returns the overlay TEXT with "draining" of the upstream at A set and all
  * other lines unchanged; the caller frees the result.  NULL with E: -ENOENT
--- a/conf/diff.c
+++ b/conf/diff.c
@@ -87,7 +87,7 @@
 {
     for (uint32_t i = 0; i < from->n_upstreams; i++) {
         const conf_upstream_t *u = &from->upstreams[i];
-        if (to == NULL || conf_upstream(to, u->id) == NULL) {
+        if (to == NULL || conf_find_upstream(to, u->id) == NULL) {
             emit_upstream(d, sign, from, u);
         }
     }
@@ -102,7 +102,7 @@
     diff_fields(d, subject, service_fields, n_service_fields, a, b);
     emit_missing(d, '-', a, b);
     for (uint32_t i = 0; i < a->n_upstreams; i++) {
-        const conf_upstream_t *u = conf_upstream(b, a->upstreams[i].id);
+        const conf_upstream_t *u = conf_find_upstream(b, a->upstreams[i].id);
         if (u != NULL) {
             diff_upstream(d, a, &a->upstreams[i], u);
         }
@@ -144,7 +144,7 @@
         diff_site(&d, a, b);
     }
     for (uint32_t i = 0; i < a->n_services; i++) {
-        const conf_service_t *s = conf_service(b, a->services[i].name);
+        const conf_service_t *s = conf_find_service(b, a->services[i].name);
         if (s == NULL) {
             emit_service(&d, '-', &a->services[i]);
         }
@@ -153,7 +153,7 @@
         }
     }
     for (uint32_t i = 0; i < b->n_services; i++) {
-        if (conf_service(a, b->services[i].name) == NULL) {
+        if (conf_find_service(a, b->services[i].name) == NULL) {
             emit_service(&d, '+', &b->services[i]);
         }
     }
@@ -266,7 +266,7 @@
 }
 
 int
-conf_step_check(const conf_t *old, const conf_t *new_, err_t *e)
+conf_check_step(const conf_t *old, const conf_t *new_, err_t *e)
 {
     old_index_t index;
     int rc = 0;
--- a/conf/tagged.c
+++ b/conf/tagged.c
@@ -73,7 +73,7 @@
 static const char *const lists[] = {"seeds", NULL};
 
 bool
-tagged_is(const char *text)
+text_is_tagged_settings(const char *text)
 {
     err_t e = {0};
     toml_doc_t *doc = toml_doc_parse("settings", text, &e);
@@ -97,10 +97,10 @@
     if (list == NULL) {
         return 0;
     }
-    if (toml_kind(list) != TOML_ARRAY || toml_size(list) > TAGGED_SEEDS) {
+    if (toml_kind(list) != TOML_ARRAY || toml_size(list) > TAGGED_SEEDS_MAX) {
         return toml_fail(o->e, o->file, toml_line(list),
                          "seeds is invalid; expected at most %d addresses",
-                         TAGGED_SEEDS);
+                         TAGGED_SEEDS_MAX);
     }
     for (size_t i = 0; i < toml_size(list); i++) {
         seed = toml_at(list, i);
--- a/conf/tagged.h
+++ b/conf/tagged.h
@@ -9,7 +9,7 @@
 #endif
 
 #define TAGGED_NAME_LEN 64
-#define TAGGED_SEEDS 8
+#define TAGGED_SEEDS_MAX 8
 
 typedef struct {
     char name[TAGGED_NAME_LEN]; /* of the instance, unique */
@@ -30,12 +30,12 @@
     double warm_up_over, warm_up_slack;
     log_level_t log_level;
     uint32_t n_seeds;
-    addr_t seed[TAGGED_SEEDS]; /* admin addresses of some instances */
+    addr_t seed[TAGGED_SEEDS_MAX]; /* admin addresses of some instances */
 } tagged_settings_t;
 
 /* True when TEXT has a "kind" key with a string value, as settings of tagged
  * flows do; tagged_settings_parse() checks the value. */
-bool tagged_is(const char *text);
+bool text_is_tagged_settings(const char *text);
 /* 0, or -EINVAL with "file:line" in E's peer. */
 int tagged_settings_parse(tagged_settings_t *s, const char *file,
                           const char *text, err_t *e);
--- a/plat/apply.c
+++ b/plat/apply.c
@@ -178,7 +178,7 @@
     if (cur->n > 0) {
         old = bundle_conf(cur, e);
     }
-    rc = cur->n > 0 && old == NULL ? -EINVAL : conf_step_check(old, new_, e);
+    rc = cur->n > 0 && old == NULL ? -EINVAL : conf_check_step(old, new_, e);
     conf_free(old);
     conf_free(new_);
     return rc;
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -253,8 +253,8 @@
     if (text == NULL) {
         return refuse_settings(&e);
     }
-    rc = tagged_is(text) ? start_tagged_mode(file, text, check)
-                         : start_owner_mode(file, text, check);
+    rc = text_is_tagged_settings(text) ? start_tagged_mode(file, text, check)
+                                       : start_owner_mode(file, text, check);
     free(text);
     return rc;
 }
--- a/test/conf_test.cc
+++ b/test/conf_test.cc
@@ -96,23 +96,23 @@
     ASSERT_TRUE(c) << e.peer << ": " << e.text;
     EXPECT_STREQ("moravia", c->site);
     ASSERT_EQ(2u, c->n_services);
-    const conf_service_t *s = conf_service(c.get(), "dohled");
+    const conf_service_t *s = conf_find_service(c.get(), "dohled");
     ASSERT_TRUE(s);
     EXPECT_EQ(PREFER_BALANCE, s->prefer);
-    EXPECT_EQ(s, conf_service_at(c.get(), &s->addr));
+    EXPECT_EQ(s, conf_find_service_by_addr(c.get(), &s->addr));
     ASSERT_EQ(2u, s->n_upstreams);
     EXPECT_LT(s->upstreams[0].id, s->upstreams[1].id);
     for (uint32_t i = 0; i < 2; i++) {
         const conf_upstream_t *u = &s->upstreams[i];
         bool far = strcmp(u->data_centre, "olomouc-sal") == 0;
-        EXPECT_EQ(u, conf_upstream(s, u->id));
+        EXPECT_EQ(u, conf_find_upstream(s, u->id));
         EXPECT_EQ(far ? 5 : 2, u->slots);
         EXPECT_EQ(far ? 20 : 10, u->weight);
         EXPECT_EQ(far, u->draining);
         EXPECT_EQ(2000u, u->connections);
     }
-    EXPECT_EQ(nullptr, conf_service(c.get(), "mesa-control"));
-    EXPECT_EQ(nullptr, conf_upstream(s, 1));
+    EXPECT_EQ(nullptr, conf_find_service(c.get(), "mesa-control"));
+    EXPECT_EQ(nullptr, conf_find_upstream(s, 1));
 }
 
 struct invalid_edit_t {
@@ -223,11 +223,11 @@
     conf_ptr a = parse({base, more}), b = parse({base, moved});
     conf_ptr without = parse({base, brno});
     err_t e = {};
-    EXPECT_EQ(-EINVAL, conf_step_check(a.get(), b.get(), &e));
+    EXPECT_EQ(-EINVAL, conf_check_step(a.get(), b.get(), &e));
     EXPECT_TRUE(strstr(e.text, "127.2.1.3:5683")) << e.text;
-    EXPECT_EQ(0, conf_step_check(a.get(), without.get(), &e));
-    EXPECT_EQ(0, conf_step_check(without.get(), b.get(), &e));
-    EXPECT_EQ(0, conf_step_check(nullptr, b.get(), &e));
+    EXPECT_EQ(0, conf_check_step(a.get(), without.get(), &e));
+    EXPECT_EQ(0, conf_check_step(without.get(), b.get(), &e));
+    EXPECT_EQ(0, conf_check_step(nullptr, b.get(), &e));
 }
 
 // Guards against a service that takes another service's address in one step:
@@ -237,9 +237,9 @@
     std::string swapped = edit(base, "127.1.0.1", "127.1.0.9");
     swapped = edit(swapped, "127.1.0.2", "127.1.0.1");
     conf_ptr a = parse({base, brno}), b = parse({swapped, brno});
-    EXPECT_EQ(-EINVAL, conf_step_check(a.get(), b.get(), nullptr));
+    EXPECT_EQ(-EINVAL, conf_check_step(a.get(), b.get(), nullptr));
     conf_ptr other = parse({edit(base, "moravia", "bogota"), brno});
-    EXPECT_EQ(-EINVAL, conf_step_check(a.get(), other.get(), nullptr));
+    EXPECT_EQ(-EINVAL, conf_check_step(a.get(), other.get(), nullptr));
 }
 
 // Guards against an upstream's address that becomes a service's address in one
@@ -251,9 +251,9 @@
     std::string over = edit(brno, "127.2.1.2", "127.2.1.3");
     conf_ptr b = parse({edit(base, "127.1.0.1", "127.2.1.2"), over});
     err_t e = {};
-    EXPECT_EQ(-EINVAL, conf_step_check(a.get(), b.get(), &e));
+    EXPECT_EQ(-EINVAL, conf_check_step(a.get(), b.get(), &e));
     EXPECT_TRUE(strstr(e.text, "127.2.1.2:5683")) << e.text;
-    EXPECT_EQ(-EINVAL, conf_step_check(b.get(), a.get(), nullptr));
+    EXPECT_EQ(-EINVAL, conf_check_step(b.get(), a.get(), nullptr));
 }
 
 // A hand-written upstream table: keys in any order, comments, blank lines, and
@@ -298,8 +298,8 @@
     RC_ASSERT((bool)before);
     addr_t a;
     addr_parse(&a, ("127.2.1." + std::to_string(at + 1) + ":5683").c_str());
-    const conf_service_t *s = conf_service(before.get(), "dohled");
-    bool was = conf_upstream(s, addr_id(&a))->draining;
+    const conf_service_t *s = conf_find_service(before.get(), "dohled");
+    bool was = conf_find_upstream(s, addr_id(&a))->draining;
     err_t e = {};
     char *set = conf_set_draining(over.c_str(), &a, !was, &e);
     RC_ASSERT(set != nullptr);
@@ -307,8 +307,8 @@
     free(set);
     RC_ASSERT((bool)after);
     RC_ASSERT(diff(before.get(), after.get()).size() == 1u);
-    s = conf_service(after.get(), "dohled");
-    RC_ASSERT(conf_upstream(s, addr_id(&a))->draining == !was);
+    s = conf_find_service(after.get(), "dohled");
+    RC_ASSERT(conf_find_upstream(s, addr_id(&a))->draining == !was);
 }
 
 TEST(Conf, SetDrainingEditsOverlayText)
@@ -394,7 +394,7 @@
     conf_ptr copy(conf_copy(c.get()), conf_free);
     RC_ASSERT(conf_diff(c.get(), c.get(), NULL, NULL) == 0);
     RC_ASSERT(conf_diff(c.get(), copy.get(), NULL, NULL) == 0);
-    RC_ASSERT(conf_step_check(c.get(), copy.get(), NULL) == 0);
+    RC_ASSERT(conf_check_step(c.get(), copy.get(), NULL) == 0);
     RC_ASSERT(c->hash == copy->hash);
 }
 
