--- a/siskinctl/apply.c
+++ b/siskinctl/apply.c
@@ -26,7 +26,8 @@
 
     *r = (conflict_t){.base_version = base_version};
     r->difference = ctl_diff(theirs, mine);
-    if (base_version == 0 || plat_history(p, base_version, &base, NULL) == 0) {
+    if (base_version == 0 ||
+        plat_read_history(p, base_version, &base, NULL) == 0) {
         r->mine = ctl_diff(&base, mine);
         r->theirs = ctl_diff(&base, theirs);
         r->collisions = ctl_collisions(r->mine, r->theirs);
@@ -319,7 +320,7 @@
 {
     conf_t *before, *after;
     uint64_t revision, base_version;
-    int rc = plat_config(p, b, &revision, e);
+    int rc = plat_read_config(p, b, &revision, e);
 
     if (rc < 0) {
         return rc == -EIO ? -EHOSTUNREACH : rc;
