--- a/kern/duty.c
+++ b/kern/duty.c
@@ -44,13 +44,13 @@
     d->kern = k;
     d->spec = *spec;
     snprintf(d->name, sizeof(d->name), "%s", spec->name);
-    d->slots = calloc(spec->inbox, sizeof(*d->slots));
+    d->slots = calloc(spec->inbox_size, sizeof(*d->slots));
     d->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     if (d->slots == NULL || d->wake_fd < 0) {
         duty_free(d);
         return NULL;
     }
-    ck_ring_init(&d->ring, spec->inbox);
+    ck_ring_init(&d->ring, spec->inbox_size);
     return d;
 }
 
@@ -60,8 +60,8 @@
     void *msg;
 
     while (d->slots != NULL && duty_take(d, &msg, 1) == 1) {
-        if (d->spec.drop != NULL) {
-            d->spec.drop(msg);
+        if (d->spec.free_msg != NULL) {
+            d->spec.free_msg(msg);
         }
     }
     if (d->wake_fd >= 0) {
@@ -138,7 +138,7 @@
 int
 duty_put(duty_t *d, void *msg)
 {
-    bool queued = d->spec.one_sender
+    bool queued = d->spec.single_sender
                       ? ck_ring_enqueue_spsc(&d->ring, d->slots, msg)
                       : ck_ring_enqueue_mpsc(&d->ring, d->slots, msg);
 
@@ -202,7 +202,7 @@
 {
     size_t i = 0;
 
-    if (d->spec.one_sender) {
+    if (d->spec.single_sender) {
         while (i < n && ck_ring_dequeue_spsc(&d->ring, d->slots, &out[i])) {
             i++;
         }
@@ -225,13 +225,13 @@
 }
 
 bool
-duty_sleep(duty_t *d)
+duty_prepare_sleep(duty_t *d)
 {
     return prepare_sleep(d, ASLEEP_POLL);
 }
 
 void
-duty_awake(duty_t *d)
+duty_finish_sleep(duty_t *d)
 {
     uint64_t n;
 
@@ -256,8 +256,8 @@
         return;
     }
     fds[0] = (struct pollfd){.fd = d->wake_fd, .events = POLLIN};
-    poll(fds, n, duty_sleep(d) ? (int)wait_ms : 0);
-    duty_awake(d);
+    poll(fds, n, duty_prepare_sleep(d) ? (int)wait_ms : 0);
+    duty_finish_sleep(d);
 }
 
 int
@@ -279,7 +279,7 @@
 }
 
 uint64_t
-duty_full(const duty_t *d)
+duty_refused_count(const duty_t *d)
 {
     return counter_read(&d->refused);
 }
--- a/kern/kern.h
+++ b/kern/kern.h
@@ -31,14 +31,14 @@
     const char *name;
     duty_run_t *run; /* NULL: runs on the caller's own thread */
     void *arg;
-    unsigned inbox;          /* ring size, a power of two >= 4 */
-    bool one_sender;         /* only one thread sends: SPSC ring */
-    void (*drop)(void *msg); /* frees a message left in the inbox */
+    unsigned inbox_size;         /* ring size, a power of two >= 4 */
+    bool single_sender;          /* only one thread sends: SPSC ring */
+    void (*free_msg)(void *msg); /* frees a message left in the inbox */
 } duty_spec_t;
 
 kern_t *kern_new(void);
 /* Doesn't stop the duties: call kern_stop() first.  Passes messages left in
- * the inboxes to drop(). */
+ * the inboxes to free_msg(). */
 void kern_free(kern_t *k);
 
 /* Registers a duty.  -EEXIST: the name is in use; -ENOSPC: DUTIES_MAX
@@ -75,18 +75,18 @@
 void duty_wait(duty_t *d, struct pollfd *fds, size_t n, ms_t wait_ms);
 
 /* The two halves of duty_wait(), for a duty that sleeps in another call, such
- * as epoll_wait() or zmq_poll(), which must watch duty_fd().  duty_sleep()
- * marks D as asleep; it returns false if a message or a stop request is
- * pending, and D must not sleep then.  duty_awake() must follow in both
- * cases. */
-bool duty_sleep(duty_t *d);
-void duty_awake(duty_t *d);
+ * as epoll_wait() or zmq_poll(), which must watch duty_fd().
+ * duty_prepare_sleep() marks D as asleep; it returns false if a message or a
+ * stop request is pending, and D must not sleep then.  duty_finish_sleep()
+ * must follow in both cases. */
+bool duty_prepare_sleep(duty_t *d);
+void duty_finish_sleep(duty_t *d);
 int duty_fd(const duty_t *d);
 
 unsigned duty_depth(const duty_t *d);
 unsigned duty_capacity(const duty_t *d);
 /* Number of messages refused because the inbox was full. */
-uint64_t duty_full(const duty_t *d);
+uint64_t duty_refused_count(const duty_t *d);
 
 /* ---- Buffers ---- */
 
@@ -107,7 +107,7 @@
 int udp_open(const addr_t *a, err_t *e);
 
 /* Size of the msg_control buffer for a receive timestamp. */
-#define UDP_STAMP_LEN CMSG_SPACE(sizeof(struct timespec))
+#define UDP_TIMESTAMP_LEN CMSG_SPACE(sizeof(struct timespec))
 
 /* The time from the arrival of a datagram to NOW (clock_wall()), from the
  * receive timestamp in H.  0 without a timestamp, and never negative.  A step
--- a/kern/reply.c
+++ b/kern/reply.c
@@ -27,7 +27,7 @@
 }
 
 bool
-http_request_whole(size_t *body_len, void **state)
+http_request_complete(size_t *body_len, void **state)
 {
     static int headers_seen;
 
--- a/kern/reply.h
+++ b/kern/reply.h
@@ -12,7 +12,7 @@
 /* For a libmicrohttpd access handler, which is called several times for each
  * request.  Returns true once the request has been received completely.  The
  * first call has only the headers; a body is read and discarded. */
-bool http_request_whole(size_t *body_len, void **state);
+bool http_request_complete(size_t *body_len, void **state);
 /* Queues a response with TEXT as the body; takes ownership of TEXT (malloc).
  * Returns MHD_NO, which closes the connection, if TEXT is NULL because memory
  * ran out. */
--- a/siskind/bulk.c
+++ b/siskind/bulk.c
@@ -321,8 +321,9 @@
     };
     long wait = b->client != NULL ? 100 : 1000;
 
-    zmq_poll(item, b->client != NULL ? 3 : 2, duty_sleep(self) ? wait : 0);
-    duty_awake(self);
+    zmq_poll(item, b->client != NULL ? 3 : 2,
+             duty_prepare_sleep(self) ? wait : 0);
+    duty_finish_sleep(self);
     for (int i = 0; i < REQUESTS_PER_TURN && serve_one(b); i++) {
         continue;
     }
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -27,23 +27,32 @@
 #define STOP_TIMEOUT_MS 1500
 
 static const duty_spec_t duties[] = {
-    {.name = "main", .inbox = 4},
+    {.name = "main", .inbox_size = 4},
     {.name = "send",
      .run = send_run,
-     .inbox = PACKET_INBOX,
-     .one_sender = true},
-    {.name = "decide", .run = decide_run, .inbox = PACKET_INBOX},
+     .inbox_size = PACKET_INBOX,
+     .single_sender = true},
+    {.name = "decide", .run = decide_run, .inbox_size = PACKET_INBOX},
     {.name = "receive",
      .run = receive_run,
-     .inbox = CONTROL_INBOX,
-     .one_sender = true},
+     .inbox_size = CONTROL_INBOX,
+     .single_sender = true},
     {.name = "bulk",
      .run = bulk_run,
-     .inbox = CONTROL_INBOX,
-     .one_sender = true},
-    {.name = "watch", .run = watch_run, .inbox = 4, .one_sender = true},
-    {.name = "roster", .run = roster_run, .inbox = 4, .one_sender = true},
-    {.name = "admin", .run = admin_run, .inbox = 4, .one_sender = true},
+     .inbox_size = CONTROL_INBOX,
+     .single_sender = true},
+    {.name = "watch",
+     .run = watch_run,
+     .inbox_size = 4,
+     .single_sender = true},
+    {.name = "roster",
+     .run = roster_run,
+     .inbox_size = 4,
+     .single_sender = true},
+    {.name = "admin",
+     .run = admin_run,
+     .inbox_size = 4,
+     .single_sender = true},
 };
 
 static int
@@ -87,7 +96,7 @@
     for (size_t i = 0; i < sizeof(duties) / sizeof(duties[0]); i++) {
         duty_spec_t spec = duties[i];
         spec.arg = d;
-        spec.drop = msg_drop;
+        spec.free_msg = msg_drop;
         int rc = kern_add(d->kern, &spec);
         if (rc < 0) {
             return rc;
--- a/siskind/metrics.c
+++ b/siskind/metrics.c
@@ -75,7 +75,7 @@
     fprintf(f, "# TYPE siskin_inbox_full_total counter\n");
     for (size_t i = 0; i < sizeof(duty) / sizeof(duty[0]); i++) {
         counter(f, "inbox_full_total", "duty", duty[i],
-                duty_full(kern_find(d->kern, duty[i])));
+                duty_refused_count(kern_find(d->kern, duty[i])));
     }
 }
 
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -25,7 +25,7 @@
     struct mmsghdr msgs[BATCH];
     struct iovec iov[BATCH];
     struct sockaddr_storage remote[BATCH];
-    char control[BATCH][UDP_STAMP_LEN];
+    char control[BATCH][UDP_TIMESTAMP_LEN];
 } receive_t;
 
 /* The socket of an epoll event: a fixed one or a service's. */
@@ -249,8 +249,9 @@
     int n;
 
     coalesce(r);
-    n = epoll_wait(r->epoll, ev, EVENTS_MAX, duty_sleep(self) ? 1000 : 0);
-    duty_awake(self);
+    n = epoll_wait(r->epoll, ev, EVENTS_MAX,
+                   duty_prepare_sleep(self) ? 1000 : 0);
+    duty_finish_sleep(self);
     r->turn_started_us = now_us();
     for (int i = 0; i < n; i++) {
         on_event(r, ev[i].data.u64);
--- a/tagged/daemon.c
+++ b/tagged/daemon.c
@@ -19,16 +19,16 @@
 #define DRAIN_POLL_MS 100
 
 static const duty_spec_t duties[] = {
-    {.name = "main", .inbox = 4},
+    {.name = "main", .inbox_size = 4},
     {.name = "packets",
      .run = packets_run,
-     .inbox = CHANGES_INBOX,
-     .drop = changes_free},
-    {.name = "serve", .run = serve_run, .inbox = 4},
-    {.name = "follow", .run = follow_run, .inbox = 4},
-    {.name = "operator", .run = operator_run, .inbox = 4},
-    {.name = "check", .run = check_run, .inbox = 4},
-    {.name = "announce", .run = announce_run, .inbox = 4},
+     .inbox_size = CHANGES_INBOX,
+     .free_msg = changes_free},
+    {.name = "serve", .run = serve_run, .inbox_size = 4},
+    {.name = "follow", .run = follow_run, .inbox_size = 4},
+    {.name = "operator", .run = operator_run, .inbox_size = 4},
+    {.name = "check", .run = check_run, .inbox_size = 4},
+    {.name = "announce", .run = announce_run, .inbox_size = 4},
 };
 
 static int
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -35,7 +35,7 @@
     sender_t *sender;
     struct mmsghdr in[PACKET_BATCH];
     struct iovec in_iov[PACKET_BATCH];
-    char stamp[PACKET_BATCH][UDP_STAMP_LEN];
+    char stamp[PACKET_BATCH][UDP_TIMESTAMP_LEN];
     uint8_t data[PACKET_BATCH]
                 [PACKET_BYTES + 1]; /* one more, to detect oversized packets */
 } packets_t;
@@ -446,10 +446,11 @@
     p->sender = sender_new(t);
     for (int i = 0; i < PACKET_BATCH; i++) {
         p->in_iov[i] = (struct iovec){p->data[i], sizeof(p->data[i])};
-        p->in[i].msg_hdr = (struct msghdr){.msg_iov = &p->in_iov[i],
-                                           .msg_iovlen = 1,
-                                           .msg_control = p->stamp[i],
-                                           .msg_controllen = UDP_STAMP_LEN};
+        p->in[i].msg_hdr =
+            (struct msghdr){.msg_iov = &p->in_iov[i],
+                            .msg_iovlen = 1,
+                            .msg_control = p->stamp[i],
+                            .msg_controllen = UDP_TIMESTAMP_LEN};
     }
     return p->flows != NULL && p->sender != NULL;
 }
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -245,7 +245,7 @@
 
     (void)version;
     (void)body;
-    if (!http_request_whole(body_len, state)) {
+    if (!http_request_complete(body_len, state)) {
         return MHD_YES;
     }
     *state = &routed;
--- a/test/kern_test.cc
+++ b/test/kern_test.cc
@@ -55,7 +55,7 @@
         }
         EXPECT_EQ(-EAGAIN, duty_post(d, &msg[n]));
         EXPECT_EQ(-EAGAIN, duty_post(d, &msg[n]));
-        EXPECT_EQ(2u, duty_full(d));
+        EXPECT_EQ(2u, duty_refused_count(d));
         EXPECT_EQ(n, duty_depth(d));
         void *out[4];
         EXPECT_EQ(4u, duty_take(d, out, 4));
@@ -227,7 +227,7 @@
 {
     addr_t a = {};
     err_t e = {};
-    char data[8], stamp[UDP_STAMP_LEN];
+    char data[8], stamp[UDP_TIMESTAMP_LEN];
     iovec iov = {data, sizeof(data)};
     msghdr h = {};
     sockaddr_storage ss;
