--- a/base/base.c
+++ b/base/base.c
@@ -9,7 +9,7 @@
 #include <xxhash.h>
 
 ms_t
-clock_ms(const struct timespec *ts)
+timespec_to_ms(const struct timespec *ts)
 {
     return (ms_t)ts->tv_sec * 1000 + ts->tv_nsec / 1000000;
 }
@@ -20,7 +20,7 @@
     struct timespec ts;
 
     clock_gettime(CLOCK_MONOTONIC, &ts);
-    return clock_ms(&ts);
+    return timespec_to_ms(&ts);
 }
 
 ms_t
@@ -29,7 +29,7 @@
     struct timespec ts;
 
     clock_gettime(CLOCK_REALTIME, &ts);
-    return clock_ms(&ts);
+    return timespec_to_ms(&ts);
 }
 
 #define ARRAY_MIN 8
--- a/base/base.h
+++ b/base/base.h
@@ -28,7 +28,7 @@
 /* The wall clock, in milliseconds since 1970.  May step. */
 ms_t clock_wall(void);
 /* Converts a timespec of either clock. */
-ms_t clock_ms(const struct timespec *ts);
+ms_t timespec_to_ms(const struct timespec *ts);
 
 /* ---- Arrays ---- */
 
@@ -126,7 +126,7 @@
     head->prev = l;
 }
 
-#define LIST_OWNER(ptr, type, field)                                          \
+#define CONTAINER_OF(ptr, type, field)                                        \
     ((type *)((char *)(ptr)-offsetof(type, field)))
 #define LIST_EACH(it, head)                                                   \
     for (link_t *it = (head)->next, *it##_n = it->next; it != (head);         \
@@ -149,7 +149,7 @@
  * separate thread, so that logging never blocks the caller. */
 int log_start_writer(int fd);
 /* Number of lines dropped because the buffer was full. */
-uint64_t log_left_out(void);
+uint64_t log_dropped_lines(void);
 /* Flushes the buffer, with a timeout. */
 void log_close(void);
 
--- a/base/log.c
+++ b/base/log.c
@@ -213,7 +213,7 @@
 }
 
 uint64_t
-log_left_out(void)
+log_dropped_lines(void)
 {
     uint64_t n;
 
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -274,7 +274,7 @@
 ex_expire(core_t *c)
 {
     while (!list_empty(&c->ex_kept)) {
-        ex_t *ex = LIST_OWNER(c->ex_kept.next, ex_t, link);
+        ex_t *ex = CONTAINER_OF(c->ex_kept.next, ex_t, link);
         if (c->now - ex->sent < retention_ms(c)) {
             break;
         }
--- a/core/request.c
+++ b/core/request.c
@@ -723,6 +723,6 @@
 request_tick(core_t *c)
 {
     LIST_EACH (l, &c->ex_active) {
-        check_active(c, LIST_OWNER(l, ex_t, link));
+        check_active(c, CONTAINER_OF(l, ex_t, link));
     }
 }
--- a/flow/directory.c
+++ b/flow/directory.c
@@ -47,7 +47,7 @@
     service_t *s;
 
     INDEX_EACH (it, &f->by_name, hash) {
-        s = LIST_OWNER(it, service_t, by_name.link);
+        s = CONTAINER_OF(it, service_t, by_name.link);
         if (strcmp(s->name, name) == 0) {
             return s;
         }
@@ -65,7 +65,7 @@
 upstream_by_id(const flowset_t *f, uint64_t id)
 {
     INDEX_EACH (it, &f->by_id, hash_mix(id, 0)) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, by_id.link);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, by_id.link);
         if (u->a.id == id) {
             return u;
         }
@@ -77,7 +77,7 @@
 upstream_by_tag(const flowset_t *f, uint32_t tag)
 {
     INDEX_EACH (it, &f->by_tag, hash_mix(tag, 1)) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, by_tag.link);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, by_tag.link);
         if ((uint32_t)u->a.id == tag) {
             return u;
         }
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -44,7 +44,7 @@
 discard_records(flowset_t *f, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_free(f, LIST_OWNER(it, record_t, by_upstream));
+        record_free(f, CONTAINER_OF(it, record_t, by_upstream));
     }
     u->answer_ms = 0;
     u->unanswered = 0;
@@ -64,10 +64,10 @@
         return;
     }
     LIST_EACH (it, &f->upstreams) {
-        drop_upstream(f, LIST_OWNER(it, upstream_t, all));
+        drop_upstream(f, CONTAINER_OF(it, upstream_t, all));
     }
     LIST_EACH (it, &f->services) {
-        service_t *s = LIST_OWNER(it, service_t, link);
+        service_t *s = CONTAINER_OF(it, service_t, link);
         free(s->local.up);
         free(s->remote.up);
         free(s);
@@ -97,7 +97,7 @@
 set_services(flowset_t *f, const flow_conf_t *c)
 {
     LIST_EACH (it, &f->services) {
-        LIST_OWNER(it, service_t, link)->warm_up_per_s = 0;
+        CONTAINER_OF(it, service_t, link)->warm_up_per_s = 0;
     }
     for (uint32_t i = 0; i < c->n_services; i++) {
         service_t *s = service_named(f, c->services[i].service);
@@ -141,7 +141,7 @@
     bool superseded = false;
 
     INDEX_EACH (it, &f->by_addr, addr_hash(&a->addr)) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, by_addr.link);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, by_addr.link);
         if (u->a.id == a->id || !addr_eq(&u->a.addr, &a->addr)) {
             continue;
         }
@@ -239,7 +239,7 @@
     int n = 0, rc = 0;
 
     LIST_EACH (it, &f->upstreams) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, all);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, all);
         if (strcmp(u->a.data_centre, data_centre) == 0) {
             int failed = upstream_evacuate(u, evacuated);
             rc = failed < 0 ? failed : rc;
@@ -348,7 +348,7 @@
 flowset_paused(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->recent) {
-        record_t *r = LIST_OWNER(it, record_t, recent);
+        record_t *r = CONTAINER_OF(it, record_t, recent);
         r->sent_at = now;
         r->request_at = r->request_at != 0 ? now : 0;
     }
@@ -360,7 +360,7 @@
     ms_t expiry_ms = f->spec.flow_ttl_ms + EXPIRY_MARGIN_MS;
 
     LIST_EACH (it, &f->upstreams) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, all);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, all);
         if (!u->listed && !u->probing && now - u->unlisted_at > expiry_ms) {
             drop_upstream(f, u);
         }
@@ -379,7 +379,7 @@
         records_expire(f, now);
         expire_upstreams(f, now);
         LIST_EACH (it, &f->services) {
-            choice_sweep(LIST_OWNER(it, service_t, link), now);
+            choice_sweep(CONTAINER_OF(it, service_t, link), now);
         }
         f->sweep_at = now + SWEEP_MS;
     }
@@ -400,12 +400,12 @@
     s->evacuated = f->n_evacuated;
     s->usable = s->limits = 0;
     LIST_EACH (it, &f->services) {
-        const service_t *v = LIST_OWNER(it, service_t, link);
+        const service_t *v = CONTAINER_OF(it, service_t, link);
         s->limits += (v->local.limit.max_in_flight > 0) +
                      (v->remote.limit.max_in_flight > 0);
     }
     LIST_EACH (it, &f->upstreams) {
-        const upstream_t *u = LIST_OWNER(it, upstream_t, all);
+        const upstream_t *u = CONTAINER_OF(it, upstream_t, all);
         s->usable += u->listed && !u->a.draining && !u->evacuated &&
                      u->reach == REACH_GOOD;
     }
--- a/flow/index.c
+++ b/flow/index.c
@@ -49,7 +49,7 @@
     }
     for (uint32_t i = 0; i <= ix->mask; i++) {
         LIST_EACH (it, &ix->bucket[i]) {
-            entry_t *e = LIST_OWNER(it, entry_t, link);
+            entry_t *e = CONTAINER_OF(it, entry_t, link);
             list_remove(it);
             list_append(&bigger[e->hash & (n - 1)], it);
         }
--- a/flow/pacer.c
+++ b/flow/pacer.c
@@ -98,7 +98,7 @@
 find_flow(const pacer_t *p, const addr_t *caller, const addr_t *service)
 {
     LIST_EACH (it, &p->active) {
-        pacer_flow_t *f = LIST_OWNER(it, pacer_flow_t, link);
+        pacer_flow_t *f = CONTAINER_OF(it, pacer_flow_t, link);
         if (addr_eq(&f->caller, caller) && addr_eq(&f->service, service)) {
             return f;
         }
@@ -115,7 +115,7 @@
         return NULL;
     }
     LIST_EACH (it, &f->packets) {
-        paced_packet_t *w = LIST_OWNER(it, paced_packet_t, link);
+        paced_packet_t *w = CONTAINER_OF(it, paced_packet_t, link);
         if (w->seq == packet->seq && w->len == packet->len) {
             return w;
         }
@@ -129,7 +129,7 @@
     pacer_flow_t *f = find_flow(p, &w->caller, &w->service);
 
     if (f == NULL) {
-        f = LIST_OWNER(p->unused.next, pacer_flow_t, link);
+        f = CONTAINER_OF(p->unused.next, pacer_flow_t, link);
         f->caller = w->caller;
         f->service = w->service;
         list_remove(&f->link);
@@ -160,7 +160,7 @@
     paced_packet_t *w;
 
     LIST_EACH (it, &p->active) {
-        pacer_flow_t *f = LIST_OWNER(it, pacer_flow_t, link);
+        pacer_flow_t *f = CONTAINER_OF(it, pacer_flow_t, link);
         if (longest == NULL || f->n > longest->n) {
             longest = f;
         }
@@ -168,7 +168,7 @@
     if (longest == NULL) {
         return NULL;
     }
-    w = LIST_OWNER(longest->packets.prev, paced_packet_t, link);
+    w = CONTAINER_OF(longest->packets.prev, paced_packet_t, link);
     dequeue(p, w);
     return w;
 }
@@ -176,13 +176,13 @@
 paced_packet_t *
 pacer_pop(pacer_t *p, ms_t now)
 {
-    pacer_flow_t *f = LIST_OWNER(p->active.next, pacer_flow_t, link);
+    pacer_flow_t *f = CONTAINER_OF(p->active.next, pacer_flow_t, link);
     paced_packet_t *w;
 
     if (p->n == 0) {
         return NULL;
     }
-    w = LIST_OWNER(f->packets.next, paced_packet_t, link);
+    w = CONTAINER_OF(f->packets.next, paced_packet_t, link);
     if (!try_send(p, now, w->bytes)) {
         return NULL;
     }
--- a/flow/reach.c
+++ b/flow/reach.c
@@ -177,7 +177,7 @@
 reset_all(flowset_t *f, ms_t now, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_t *r = LIST_OWNER(it, record_t, by_upstream);
+        record_t *r = CONTAINER_OF(it, record_t, by_upstream);
         if (!r->open &&
             (r->retransmitted || now - r->last_at >= REPEAT_MIN_MS)) {
             record_free(f, r);
@@ -196,7 +196,7 @@
 reset_waiting(flowset_t *f, upstream_t *u)
 {
     LIST_EACH (it, &u->records) {
-        record_t *r = LIST_OWNER(it, record_t, by_upstream);
+        record_t *r = CONTAINER_OF(it, record_t, by_upstream);
         if (r->open && !r->ended && r->idempotent && r->request_at != 0) {
             reset(f, r, FLOW_UPSTREAM_UNREACHABLE);
         }
@@ -218,7 +218,7 @@
     upstream_t *best = NULL;
 
     LIST_EACH (it, &f->upstreams) {
-        upstream_t *c = LIST_OWNER(it, upstream_t, all);
+        upstream_t *c = CONTAINER_OF(it, upstream_t, all);
         if (c == u || !c->listed || c->reach != REACH_GOOD || c->probing) {
             continue;
         }
@@ -354,7 +354,7 @@
     ms_t next = MS_NEVER;
 
     LIST_EACH (it, &f->suspects) {
-        upstream_t *u = LIST_OWNER(it, upstream_t, due);
+        upstream_t *u = CONTAINER_OF(it, upstream_t, due);
         if (!u->listed && u->open == 0) {
             schedule(f, u, MS_NEVER);
         }
--- a/flow/records.c
+++ b/flow/records.c
@@ -15,7 +15,7 @@
 record_find(const flowset_t *f, const addr_t *caller, const addr_t *service)
 {
     INDEX_EACH (it, &f->by_key, key_hash(caller, service)) {
-        record_t *r = LIST_OWNER(it, record_t, by_key.link);
+        record_t *r = CONTAINER_OF(it, record_t, by_key.link);
         if (addr_eq(&r->caller, caller) && addr_eq(&r->service, service)) {
             return r;
         }
@@ -61,7 +61,7 @@
 
     if (f->n_records >= f->spec.records_max) {
         f->stats.records_evicted++;
-        record_free(f, LIST_OWNER(f->recent.next, record_t, recent));
+        record_free(f, CONTAINER_OF(f->recent.next, record_t, recent));
     }
     r = calloc(1, sizeof(*r));
     if (r == NULL) {
@@ -155,7 +155,7 @@
 records_expire(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->recent) {
-        record_t *r = LIST_OWNER(it, record_t, recent);
+        record_t *r = CONTAINER_OF(it, record_t, recent);
         if (f->conf == NULL || now - r->last_at < f->conf->idle_ms) {
             return;
         }
--- a/flow/timeouts.c
+++ b/flow/timeouts.c
@@ -20,7 +20,7 @@
 check_opening(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->opening) {
-        record_t *r = LIST_OWNER(it, record_t, waiting);
+        record_t *r = CONTAINER_OF(it, record_t, waiting);
         if (now - r->sent_at < OPENING_TIMEOUT_MS) {
             return r->sent_at + OPENING_TIMEOUT_MS;
         }
@@ -49,7 +49,7 @@
 check_requests(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->pending) {
-        record_t *r = LIST_OWNER(it, record_t, waiting);
+        record_t *r = CONTAINER_OF(it, record_t, waiting);
         ms_t due = r->request_at + request_timeout(r->up->service);
         if (now < due) {
             return due;
@@ -75,7 +75,7 @@
 check_overdue(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->slow) {
-        record_t *r = LIST_OWNER(it, record_t, waiting);
+        record_t *r = CONTAINER_OF(it, record_t, waiting);
         if (now < r->request_at + r->goal_ms) {
             return;
         }
@@ -87,7 +87,7 @@
 timeouts_sweep(flowset_t *f, ms_t now)
 {
     LIST_EACH (it, &f->recent) {
-        record_t *r = LIST_OWNER(it, record_t, recent);
+        record_t *r = CONTAINER_OF(it, record_t, recent);
         if (now - r->last_at < REQUEST_MAX_AGE_MS) {
             return;
         }
--- a/kern/udp.c
+++ b/kern/udp.c
@@ -51,7 +51,7 @@
         if (c->cmsg_level == SOL_SOCKET && c->cmsg_type == SCM_TIMESTAMPNS) {
             struct timespec ts;
             memcpy(&ts, CMSG_DATA(c), sizeof(ts));
-            ms_t age = now - clock_ms(&ts);
+            ms_t age = now - timespec_to_ms(&ts);
             return age > 0 ? age : 0;
         }
     }
--- a/member/members.c
+++ b/member/members.c
@@ -192,7 +192,7 @@
     if (m->pings % UNREACHABLE_EVERY != 0 || list_empty(&m->unreachable)) {
         return;
     }
-    p = LIST_OWNER(m->unreachable.next, peer_t, unreachable);
+    p = CONTAINER_OF(m->unreachable.next, peer_t, unreachable);
     list_remove(&p->unreachable);
     list_append(&m->unreachable, &p->unreachable);
     ping(m, now, p);
--- a/member/view.c
+++ b/member/view.c
@@ -282,7 +282,7 @@
 
     for (int i = 0; i < limit; i++) {
         LIST_EACH (it, &m->gossip[i]) {
-            peer_t *p = LIST_OWNER(it, peer_t, gossip);
+            peer_t *p = CONTAINER_OF(it, peer_t, gossip);
             if (p == to || p->msg_no == m->msg_no) {
                 continue;
             }
--- a/standin/exchanges.c
+++ b/standin/exchanges.c
@@ -74,7 +74,7 @@
 si_exchanges_clear(si_exchanges_t *xs)
 {
     LIST_EACH (it, &xs->by_age) {
-        ex_remove(xs, LIST_OWNER(it, si_exchange_t, age));
+        ex_remove(xs, CONTAINER_OF(it, si_exchange_t, age));
     }
 }
 
@@ -82,7 +82,7 @@
 si_exchanges_expire(si_exchanges_t *xs, ms_t now)
 {
     LIST_EACH (it, &xs->by_age) {
-        si_exchange_t *x = LIST_OWNER(it, si_exchange_t, age);
+        si_exchange_t *x = CONTAINER_OF(it, si_exchange_t, age);
         bool busy = x->state == SI_EX_QUEUED || x->state == SI_EX_RUNNING;
         if (busy || x->at + SI_EXCHANGE_MS > now) {
             return;
--- a/standin/feeds.c
+++ b/standin/feeds.c
@@ -22,7 +22,7 @@
 si_feeds_clear(si_feeds_t *fs)
 {
     LIST_EACH (it, &fs->list) {
-        feed_remove(fs, LIST_OWNER(it, si_feed_t, link));
+        feed_remove(fs, CONTAINER_OF(it, si_feed_t, link));
     }
 }
 
@@ -37,7 +37,7 @@
 feed_find(si_feeds_t *fs, const addr_t *client, const coap_msg_t *m)
 {
     LIST_EACH (it, &fs->list) {
-        si_feed_t *f = LIST_OWNER(it, si_feed_t, link);
+        si_feed_t *f = CONTAINER_OF(it, si_feed_t, link);
         if (addr_eq(&f->header.client, client) && token_is(f, m)) {
             return f;
         }
@@ -85,7 +85,7 @@
 si_feeds_answered(si_feeds_t *fs, const addr_t *client, const coap_msg_t *m)
 {
     LIST_EACH (it, &fs->list) {
-        si_feed_t *f = LIST_OWNER(it, si_feed_t, link);
+        si_feed_t *f = CONTAINER_OF(it, si_feed_t, link);
         bool con = f->con_tries > 0 && f->con_mid == m->mid;
 
         if (!addr_eq(&f->header.client, client)) {
@@ -155,7 +155,7 @@
 si_feeds_tick(si_feeds_t *fs, ms_t now, si_notify_t *notify, void *arg)
 {
     LIST_EACH (it, &fs->list) {
-        si_feed_t *f = LIST_OWNER(it, si_feed_t, link);
+        si_feed_t *f = CONTAINER_OF(it, si_feed_t, link);
 
         if (f->con_tries > 0 && now >= f->con_at &&
             !resend_due(fs, f, now, notify, arg)) {
--- a/standin/uploads.c
+++ b/standin/uploads.c
@@ -28,7 +28,7 @@
 si_uploads_clear(si_uploads_t *us)
 {
     LIST_EACH (it, &us->list) {
-        upload_remove(us, LIST_OWNER(it, upload_t, link));
+        upload_remove(us, CONTAINER_OF(it, upload_t, link));
     }
 }
 
@@ -36,7 +36,7 @@
 upload_find(si_uploads_t *us, const addr_t *client)
 {
     LIST_EACH (it, &us->list) {
-        upload_t *up = LIST_OWNER(it, upload_t, link);
+        upload_t *up = CONTAINER_OF(it, upload_t, link);
         if (addr_eq(&up->client, client)) {
             return up;
         }
--- a/standin/upstream.c
+++ b/standin/upstream.c
@@ -293,7 +293,7 @@
         if (u->n_running >= u->params.slots) {
             return;
         }
-        ex_start(u, now, LIST_OWNER(it, si_exchange_t, work));
+        ex_start(u, now, CONTAINER_OF(it, si_exchange_t, work));
     }
 }
 
@@ -598,7 +598,7 @@
         return;
     }
     LIST_EACH (it, &u->running) {
-        si_exchange_t *x = LIST_OWNER(it, si_exchange_t, work);
+        si_exchange_t *x = CONTAINER_OF(it, si_exchange_t, work);
         if (now >= x->done_at) {
             ex_finish(u, now, x);
         }
--- a/tagged/report.c
+++ b/tagged/report.c
@@ -127,7 +127,7 @@
     metric_print(f, "counter", "siskin_log_lines_limited_total",
                  counter_read(&c->log_lines_limited));
     metric_print(f, "counter", "siskin_log_lines_left_out_total",
-                 log_left_out());
+                 log_dropped_lines());
     fclose(f);
     return text;
 }
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -141,7 +141,7 @@
 static queued_packet_t *
 queued_of(paced_packet_t *w)
 {
-    return w != NULL ? LIST_OWNER(w, queued_packet_t, paced) : NULL;
+    return w != NULL ? CONTAINER_OF(w, queued_packet_t, paced) : NULL;
 }
 
 /* Returns a free entry, or that of a packet of the flow with most packets
@@ -152,7 +152,7 @@
     queued_packet_t *w;
 
     if (!list_empty(&s->free_list)) {
-        w = LIST_OWNER(s->free_list.next, queued_packet_t, paced.link);
+        w = CONTAINER_OF(s->free_list.next, queued_packet_t, paced.link);
         list_remove(&w->paced.link);
         return w;
     }
--- a/test/pacer_test.cc
+++ b/test/pacer_test.cc
@@ -59,7 +59,7 @@
     static int
     id_of(paced_packet_t *w)
     {
-        return w != nullptr ? LIST_OWNER(w, Waiting, paced)->id : -1;
+        return w != nullptr ? CONTAINER_OF(w, Waiting, paced)->id : -1;
     }
 
     /* Pops packets every millisecond until TO; returns their ids. */
