--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -479,19 +479,19 @@
 static void
 sizes(void)
 {
-    peer_msg_t steer = {.kind = PEER_STEER, .from = UINT64_MAX};
+    peer_msg_t forward = {.kind = PEER_FORWARD, .from = UINT64_MAX};
     peer_msg_t hint = {.kind = PEER_HINT, .from = UINT64_MAX};
 
-    steer.steer.version = 12000;
-    steer.steer.service = addr_at(10, 1000, 5683);
-    steer.steer.client = addr_at(100, 1, 40000);
+    forward.forward.version = 12000;
+    forward.forward.service = addr_at(10, 1000, 5683);
+    forward.forward.client = addr_at(100, 1, 40000);
     hint.hint.flow = hint.hint.upstream = UINT64_MAX;
     hint.hint.lease_ms = HINT_LEASE_MS;
     printf("# Messages, most bytes: sealed, with UDP and IPv4.\n");
-    size_row("steer, without datagram", &steer);
+    size_row("steer, without datagram", &forward);
     size_row("hint", &hint);
     sync_row("sync, 1 pin", 1);
-    sync_row("sync, 32 pins", SYNC_MAX);
+    sync_row("sync, 32 pins", SYNC_PINS_MAX);
 }
 
 int
--- a/core/input.c
+++ b/core/input.c
@@ -28,7 +28,7 @@
         c->services[d->service].stats.untrusted++;
         return true;
     }
-    if (owner == c->p.self && d->hops >= STEER_HOPS) {
+    if (owner == c->p.self && d->hops >= FORWARD_HOPS_MAX) {
         return false; /* views differ; some instance has to decide */
     }
     if (owner != c->p.self) {
@@ -249,11 +249,12 @@
 
     core_enter(c, now);
     switch (m->kind) {
-    case PEER_STEER:
-        h = (spp_t){.client = m->steer.client, .service = m->steer.service};
+    case PEER_FORWARD:
+        h = (spp_t){.client = m->forward.client,
+                    .service = m->forward.service};
         count_forwarded_in(c, &h);
-        datagram_in(c, &h, m->from, m->steer.hops, m->steer.data,
-                    m->steer.len);
+        datagram_in(c, &h, m->from, m->forward.hops, m->forward.data,
+                    m->forward.len);
         return;
     case PEER_HINT:
         mark_hinted(c, m->hint.upstream, (ms_t)m->hint.lease_ms);
--- a/core/send.c
+++ b/core/send.c
@@ -39,19 +39,19 @@
     service_t *s = &c->services[d->service];
     core_out_t out = {.kind = CORE_TO_PEER};
 
-    if (d->hops >= STEER_HOPS) {
+    if (d->hops >= FORWARD_HOPS_MAX) {
         s->stats.steer_loops++;
         return;
     }
     out.peer.to = to;
-    out.peer.msg.kind = PEER_STEER;
+    out.peer.msg.kind = PEER_FORWARD;
     out.peer.msg.from = c->p.self;
-    out.peer.msg.steer.hops = (uint8_t)(d->hops + 1);
-    out.peer.msg.steer.version = c->version;
-    out.peer.msg.steer.service = d->h->service;
-    out.peer.msg.steer.client = d->h->client;
-    out.peer.msg.steer.data = d->data;
-    out.peer.msg.steer.len = d->len;
+    out.peer.msg.forward.hops = (uint8_t)(d->hops + 1);
+    out.peer.msg.forward.version = c->version;
+    out.peer.msg.forward.service = d->h->service;
+    out.peer.msg.forward.client = d->h->client;
+    out.peer.msg.forward.data = d->data;
+    out.peer.msg.forward.len = d->len;
     s->stats.steered++;
     c->emit(c->arg, &out);
 }
--- a/core/sync.c
+++ b/core/sync.c
@@ -43,7 +43,7 @@
     c->batch[i].msg.kind = PEER_SYNC;
     c->batch[i].msg.from = c->p.self;
     c->batch[i].msg.sync.pin[c->batch[i].msg.sync.n++] = *pin;
-    if (c->batch[i].msg.sync.n == SYNC_MAX) {
+    if (c->batch[i].msg.sync.n == SYNC_PINS_MAX) {
         batch_send(c, i);
     }
 }
--- a/siskind/output.c
+++ b/siskind/output.c
@@ -136,7 +136,7 @@
         return;
     }
     len = peer_write(p->data + p->start, PACKET_MAX, m, c->d->peer_key);
-    if (len > 0 && m->kind != PEER_STEER) {
+    if (len > 0 && m->kind != PEER_FORWARD) {
         counter_add(&c->d->count.control_bytes, (uint64_t)len);
     }
     packet_post(c, p, len);
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -96,34 +96,34 @@
 {
     uint8_t b[PEER_MSG_MAX];
     peer_msg_t m = {}, r;
-    m.kind = PEER_STEER;
+    m.kind = PEER_FORWARD;
     m.from = 42;
-    m.steer.hops = 1;
-    m.steer.version = 9;
-    m.steer.service = addr("127.0.0.1:5683");
-    m.steer.client = addr("127.0.0.9:4000");
-    m.steer.data = (const uint8_t *)"hello";
-    m.steer.len = 5;
+    m.forward.hops = 1;
+    m.forward.version = 9;
+    m.forward.service = addr("127.0.0.1:5683");
+    m.forward.client = addr("127.0.0.9:4000");
+    m.forward.data = (const uint8_t *)"hello";
+    m.forward.len = 5;
     int n = peer_write(b, sizeof(b), &m, key);
     ASSERT_GT(n, 0);
     ASSERT_EQ(0, peer_read(&r, b, (size_t)n, key));
     EXPECT_EQ(42u, r.from);
-    EXPECT_EQ(9u, r.steer.version);
-    EXPECT_TRUE(addr_eq(&m.steer.client, &r.steer.client));
-    ASSERT_EQ(5u, r.steer.len);
-    EXPECT_EQ(0, memcmp("hello", r.steer.data, 5));
+    EXPECT_EQ(9u, r.forward.version);
+    EXPECT_TRUE(addr_eq(&m.forward.client, &r.forward.client));
+    ASSERT_EQ(5u, r.forward.len);
+    EXPECT_EQ(0, memcmp("hello", r.forward.data, 5));
 
     m = {};
     m.kind = PEER_SYNC;
-    m.sync.n = SYNC_MAX;
-    for (int i = 0; i < SYNC_MAX; i++) {
+    m.sync.n = SYNC_PINS_MAX;
+    for (int i = 0; i < SYNC_PINS_MAX; i++) {
         m.sync.pin[i] = {(uint64_t)-i, (uint64_t)i << 40,
                          (uint8_t)(i % 2 ? PIN_FLOW : PIN_UPLOAD)};
     }
     n = peer_write(b, sizeof(b), &m, key);
     ASSERT_GT(n, 0);
     ASSERT_EQ(0, peer_read(&r, b, (size_t)n, key));
-    ASSERT_EQ(SYNC_MAX, r.sync.n);
+    ASSERT_EQ(SYNC_PINS_MAX, r.sync.n);
     EXPECT_EQ(m.sync.pin[31].flow, r.sync.pin[31].flow);
     EXPECT_EQ(m.sync.pin[31].upstream, r.sync.pin[31].upstream);
     EXPECT_EQ(PIN_FLOW, r.sync.pin[31].kind);
--- a/wire/peer.c
+++ b/wire/peer.c
@@ -66,12 +66,12 @@
     switch (m->kind) {
     case PEER_MEMBER:
         return pack_bin(pk, m->member.body, m->member.len);
-    case PEER_STEER:
-        bad |= msgpack_pack_uint8(pk, m->steer.hops);
-        bad |= msgpack_pack_uint64(pk, m->steer.version);
-        bad |= pack_addr(pk, &m->steer.service);
-        bad |= pack_addr(pk, &m->steer.client);
-        return bad | pack_bin(pk, m->steer.data, m->steer.len);
+    case PEER_FORWARD:
+        bad |= msgpack_pack_uint8(pk, m->forward.hops);
+        bad |= msgpack_pack_uint64(pk, m->forward.version);
+        bad |= pack_addr(pk, &m->forward.service);
+        bad |= pack_addr(pk, &m->forward.client);
+        return bad | pack_bin(pk, m->forward.data, m->forward.len);
     case PEER_HINT:
         bad |= msgpack_pack_uint64(pk, m->hint.flow);
         bad |= msgpack_pack_uint64(pk, m->hint.upstream);
@@ -191,7 +191,7 @@
 {
     const msgpack_object *o = next(s, MSGPACK_OBJECT_ARRAY);
 
-    if (s->bad || o->via.array.size > SYNC_MAX) {
+    if (s->bad || o->via.array.size > SYNC_PINS_MAX) {
         s->bad = true;
         return;
     }
@@ -210,12 +210,12 @@
     case PEER_MEMBER:
         m->member.body = next_bin(s, &m->member.len);
         return;
-    case PEER_STEER:
-        m->steer.hops = (uint8_t)next_uint(s, UINT8_MAX);
-        m->steer.version = next_uint(s, UINT64_MAX);
-        next_addr(s, &m->steer.service);
-        next_addr(s, &m->steer.client);
-        m->steer.data = next_bin(s, &m->steer.len);
+    case PEER_FORWARD:
+        m->forward.hops = (uint8_t)next_uint(s, UINT8_MAX);
+        m->forward.version = next_uint(s, UINT64_MAX);
+        next_addr(s, &m->forward.service);
+        next_addr(s, &m->forward.client);
+        m->forward.data = next_bin(s, &m->forward.len);
         return;
     case PEER_HINT:
         m->hint.flow = next_uint(s, UINT64_MAX);
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -114,11 +114,11 @@
 
 #define PEER_KEY_LEN 32
 #define PEER_MSG_MAX (DATAGRAM_MAX + 128)
-#define SYNC_MAX 32 /* pins in one message */
+#define SYNC_PINS_MAX 32 /* pins in one message */
 
 typedef enum {
     PEER_MEMBER = 1, /* heartbeats and gossip; body owned by member/ */
-    PEER_STEER,      /* a client's datagram, forwarded to the flow's owner */
+    PEER_FORWARD,    /* a client's datagram, forwarded to the flow's owner */
     PEER_HINT,    /* "send this flow's datagrams to that upstream", leased */
     PEER_SYNC,    /* pins for the backup owner to store */
     PEER_SYNC_ACK /* the pins that the backup owner has stored */
@@ -146,13 +146,13 @@
             size_t len;
         } member;
         struct {
-            uint8_t hops; /* forwards so far; refused above STEER_HOPS */
+            uint8_t hops; /* forwards so far; refused above FORWARD_HOPS_MAX */
             uint64_t
                 version; /* configuration version in force at the sender */
             addr_t service, client;
             const uint8_t *data;
             size_t len;
-        } steer;
+        } forward;
         struct {
             uint64_t flow;
             uint64_t upstream;
@@ -160,12 +160,12 @@
         } hint;
         struct {
             uint16_t n;
-            pin_t pin[SYNC_MAX];
+            pin_t pin[SYNC_PINS_MAX];
         } sync; /* PEER_SYNC and PEER_SYNC_ACK */
     };
 } peer_msg_t;
 
-#define STEER_HOPS 3
+#define FORWARD_HOPS_MAX 3
 
 /* Stable 64-bit identifiers of an address and of a flow. */
 uint64_t addr_id(const addr_t *a);
