--- a/bench/tagged_load.c
+++ b/bench/tagged_load.c
@@ -77,7 +77,7 @@
 send_all(int fd, const addr_t *to, uint32_t tag, long rate, long seconds)
 {
     static const uint8_t payload[PAYLOAD];
-    uint8_t out[PACKET_BYTES];
+    uint8_t out[PACKET_MAX_LEN];
     ms_t begin = clock_now();
     uint64_t sent = 0;
 
--- a/tagged/answers.c
+++ b/tagged/answers.c
@@ -113,7 +113,7 @@
         all = all && text[i] != NULL;
     }
     if (all) {
-        out = store_topics_write(text);
+        out = store_topics_serialise(text);
     }
     for (int i = 0; i < TOPICS; i++) {
         free(text[i]);
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -36,8 +36,8 @@
     struct mmsghdr in[PACKET_BATCH];
     struct iovec in_iov[PACKET_BATCH];
     char stamp[PACKET_BATCH][UDP_TIMESTAMP_LEN];
-    uint8_t data[PACKET_BATCH]
-                [PACKET_BYTES + 1]; /* one more, to detect oversized packets */
+    /* One byte more, to detect oversized packets. */
+    uint8_t data[PACKET_BATCH][PACKET_MAX_LEN + 1];
 } packets_t;
 
 /* ---- Rate-limited log lines about flows ---- */
@@ -271,7 +271,7 @@
         return;
     case STORE_PEER:
     case STORE_PEER_GONE:
-    case STORE_OTHER:
+    case STORE_UNRELATED:
         return;
     }
 }
@@ -347,7 +347,7 @@
     flow_packet_t in;
     flow_decision_t d;
 
-    if (len > PACKET_BYTES || packet_read(&in, data, len) < 0) {
+    if (len > PACKET_MAX_LEN || packet_read(&in, data, len) < 0) {
         counter_add(&p->t->count.unreadable, 1);
         return;
     }
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -199,11 +199,11 @@
     char *value;
     int rc;
 
-    if (item->difference_to == 0 || item->value == NULL ||
+    if (item->base_revision == 0 || item->value == NULL ||
         (found && own->revision >= item->revision)) {
         return 0;
     }
-    if (!found || own->value == NULL || own->revision != item->difference_to) {
+    if (!found || own->value == NULL || own->revision != item->base_revision) {
         return -ESTALE;
     }
     rc = value_delta_apply(own->value, item->value, &value);
@@ -212,7 +212,7 @@
     }
     free(item->value);
     item->value = value;
-    item->difference_to = 0;
+    item->base_revision = 0;
     return 0;
 }
 
@@ -233,7 +233,7 @@
         pthread_mutex_unlock(&r->lock);
         return rc;
     }
-    if (items->whole) {
+    if (items->is_snapshot) {
         rc = remove_missing(r, items, changed);
     }
     for (size_t i = 0; i < items->n && rc == 0; i++) {
@@ -274,7 +274,7 @@
 {
     int rc = 0;
 
-    *out = (store_items_t){.whole = true};
+    *out = (store_items_t){.is_snapshot = true};
     pthread_mutex_lock(&r->lock);
     for (size_t i = 0; i < r->items.n && rc == 0; i++) {
         const store_item_t *it = &r->items.item[i];
@@ -305,7 +305,7 @@
 {
     for (size_t i = 0; i < r->items.n; i++) {
         const store_item_t *it = &r->items.item[i];
-        if (out->whole ? it->value != NULL : it->revision > after) {
+        if (out->is_snapshot ? it->value != NULL : it->revision > after) {
             out->item[out->n++] = *it;
         }
     }
@@ -325,7 +325,7 @@
                                : NULL;
         if (difference != NULL) {
             it->value = difference;
-            it->difference_to = base->revision;
+            it->base_revision = base->revision;
         }
     }
 }
@@ -334,7 +334,7 @@
 free_deltas(store_items_t *out)
 {
     for (size_t i = 0; i < out->n; i++) {
-        if (out->item[i].difference_to != 0) {
+        if (out->item[i].base_revision != 0) {
             free(out->item[i].value);
         }
     }
@@ -359,16 +359,16 @@
     char *text = NULL;
 
     pthread_mutex_lock(&r->lock);
-    out.whole = after < r->complete_after;
+    out.is_snapshot = after < r->complete_after;
     out.revision = r->items.revision;
     out.age = now + given_ms - r->current_at;
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
-        if (differences && !out.whole) {
+        if (differences && !out.is_snapshot) {
             select_deltas(r, after, &out);
         }
-        text = store_items_write(&out);
+        text = store_items_serialise(&out);
     }
     pthread_mutex_unlock(&r->lock);
     free_deltas(&out);
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -18,7 +18,7 @@
     addr_t to;
     uint64_t upstream;
     size_t len;
-    uint8_t data[PACKET_BYTES];
+    uint8_t data[PACKET_MAX_LEN];
 } queued_packet_t;
 
 struct sender {
@@ -29,8 +29,8 @@
     struct mmsghdr out[PACKET_BATCH];
     struct iovec iov[PACKET_BATCH][2];
     struct sockaddr_storage to[PACKET_BATCH];
-    uint8_t prefix[PACKET_BATCH][PACKET_PREFIX];
-    uint8_t reset[PACKET_BATCH][PACKET_HEAD];
+    uint8_t prefix[PACKET_BATCH][PACKET_PREFIX_LEN];
+    uint8_t reset[PACKET_BATCH][PACKET_HEADER_LEN];
     link_t free_list; /* queued_packet_t.paced */
     queued_packet_t queue[PACER_MAX];
 };
@@ -114,8 +114,8 @@
     struct msghdr *h = next_out(s, to);
     uint8_t *prefix = s->prefix[s->n_out - 1];
 
-    packet_prefix(prefix, upstream);
-    h->msg_iov[0] = (struct iovec){prefix, PACKET_PREFIX};
+    packet_write_prefix(prefix, upstream);
+    h->msg_iov[0] = (struct iovec){prefix, PACKET_PREFIX_LEN};
     h->msg_iov[1] = (struct iovec){data, len};
     h->msg_iovlen = 2;
 }
@@ -131,8 +131,8 @@
     to.port = s->t->settings.flow_addr.port;
     h = next_out(s, &to);
     reset = s->reset[s->n_out - 1];
-    packet_reset(reset, caller, service, seq);
-    h->msg_iov[0] = (struct iovec){reset, PACKET_HEAD};
+    packet_write_reset(reset, caller, service, seq);
+    h->msg_iov[0] = (struct iovec){reset, PACKET_HEADER_LEN};
     h->msg_iovlen = 1;
 }
 
@@ -195,7 +195,7 @@
     w->paced.service = in->service;
     w->paced.seq = in->seq;
     w->paced.len = in->len;
-    w->paced.bytes = (uint32_t)len + PACKET_PREFIX + NET_HEAD_BYTES;
+    w->paced.bytes = (uint32_t)len + PACKET_PREFIX_LEN + NET_HEAD_BYTES;
     pacer_push(s->pacer, &w->paced);
 }
 
@@ -203,7 +203,7 @@
 sender_forward(sender_t *s, ms_t now, const flow_packet_t *in, uint8_t *data,
                size_t len, const flow_decision_t *d)
 {
-    uint32_t bytes = (uint32_t)len + PACKET_PREFIX + NET_HEAD_BYTES;
+    uint32_t bytes = (uint32_t)len + PACKET_PREFIX_LEN + NET_HEAD_BYTES;
 
     if (pacer_admit(s->pacer, now, bytes)) {
         send_upstream(s, data, len, &d->to, d->upstream);
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -49,7 +49,7 @@
     store_event_t *ev = &c->event[c->n];
     err_t e = {0};
 
-    if (store_event(ev, item, &e) < 0) {
+    if (store_decode_item(ev, item, &e) < 0) {
         counter_add(&t->count.refused_items, 1);
         log_line(LVL_WARN, "news",
                  "Item refused. key=%s revision=%llu error=\"%s\"", e.peer,
@@ -60,7 +60,7 @@
     case STORE_PEER_GONE:
         apply_peer(t, ev);
         return;
-    case STORE_OTHER:
+    case STORE_UNRELATED:
         return;
     case STORE_ROUTES:
     case STORE_UPSTREAM:
@@ -160,7 +160,7 @@
         err_t e = {0};
         /* Unreadable items are reported when the whole list is applied. */
         if (store_is_peer(&items->item[i]) &&
-            store_event(&ev, &items->item[i], &e) == 0) {
+            store_decode_item(&ev, &items->item[i], &e) == 0) {
             apply_peer(t, &ev);
         }
     }
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -220,7 +220,7 @@
 static int
 list(watch_t *w, err_t *e)
 {
-    store_items_t items = {.topic = w->topic, .whole = true};
+    store_items_t items = {.topic = w->topic, .is_snapshot = true};
     ms_t begun = clock_now();
     bool more = true;
 
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -55,20 +55,20 @@
 {
     addr_t caller = address("100.64.0.7:40001");
     addr_t service = address("198.18.0.1:443");
-    uint8_t out[PACKET_HEAD];
+    uint8_t out[PACKET_HEADER_LEN];
 
-    packet_reset(out, &caller, &service, 0);
-    EXPECT_EQ(std::vector<uint8_t>(out, out + PACKET_HEAD),
+    packet_write_reset(out, &caller, &service, 0);
+    EXPECT_EQ(std::vector<uint8_t>(out, out + PACKET_HEADER_LEN),
               hex("04 00 00 00 00 00 00 00 9c 41 01 bb 64 40 00 07 c6 12 00 "
                   "01 00 00 00 00 00 00 00 00 00 00 00 00"));
 }
 
 TEST(Packet, PrefixHoldsTheWholeUpstreamId)
 {
-    uint8_t out[PACKET_PREFIX];
+    uint8_t out[PACKET_PREFIX_LEN];
 
-    packet_prefix(out, 0x17f3a91c2);
-    EXPECT_EQ(std::vector<uint8_t>(out, out + PACKET_PREFIX),
+    packet_write_prefix(out, 0x17f3a91c2);
+    EXPECT_EQ(std::vector<uint8_t>(out, out + PACKET_PREFIX_LEN),
               hex("00 00 00 01 7f 3a 91 c2 "));
 }
 
@@ -77,7 +77,7 @@
     std::vector<uint8_t> d = hex(SYN);
     flow_packet_t p;
 
-    for (size_t len = 0; len < PACKET_HEAD; len++) {
+    for (size_t len = 0; len < PACKET_HEADER_LEN; len++) {
         EXPECT_EQ(packet_read(&p, d.data(), len), -EPROTO);
     }
     d.push_back(0);
@@ -87,7 +87,7 @@
 static bool
 request_id(const std::string &content, std::string *id)
 {
-    std::vector<uint8_t> d(PACKET_HEAD);
+    std::vector<uint8_t> d(PACKET_HEADER_LEN);
     char out[PACKET_ID_LEN];
     bool found;
 
@@ -122,7 +122,7 @@
 {
     store_item_t item = {(char *)key, (char *)value, 7};
 
-    return store_event(ev, &item, e);
+    return store_decode_item(ev, &item, e);
 }
 
 TEST(Items, DecodesUpstream)
@@ -188,12 +188,12 @@
         store_event_t ev;
         err_t e = {};
         EXPECT_EQ(event(&ev, key, "{}", &e), -EINVAL) << key;
-        EXPECT_EQ(ev.kind, STORE_OTHER) << key;
+        EXPECT_EQ(ev.kind, STORE_UNRELATED) << key;
     }
     store_event_t ev;
     err_t e = {};
     EXPECT_EQ(event(&ev, "other/key", "x", &e), 0);
-    EXPECT_EQ(ev.kind, STORE_OTHER);
+    EXPECT_EQ(ev.kind, STORE_UNRELATED);
 }
 
 TEST(Items, DecodesRoutes)
@@ -270,7 +270,7 @@
         store_event_t ev;
         err_t e = {};
         EXPECT_EQ(event(&ev, "op/config", value, &e), -EINVAL) << value;
-        EXPECT_EQ(ev.kind, STORE_OTHER) << value;
+        EXPECT_EQ(ev.kind, STORE_UNRELATED) << value;
     }
 }
 
@@ -323,7 +323,7 @@
         err_t e = {};
         EXPECT_EQ(event(&ev, ("op/evacuate/" + name).c_str(), "{}", &e),
                   -EINVAL);
-        EXPECT_EQ(ev.kind, STORE_OTHER);
+        EXPECT_EQ(ev.kind, STORE_UNRELATED);
     }
 }
 
@@ -363,15 +363,15 @@
     store_items_add(&s, "a", "1 \"quoted\"", 4);
     store_items_add(&s, "b", nullptr, 5);
     s.revision = 9;
-    s.whole = true;
+    s.is_snapshot = true;
     s.age = 77;
-    text = store_items_write(&s);
+    text = store_items_serialise(&s);
     ASSERT_EQ(store_items_parse(&back, text), 0);
     EXPECT_EQ(back.n, 2u);
     EXPECT_STREQ(back.item[0].value, "1 \"quoted\"");
     EXPECT_EQ(back.item[1].value, nullptr);
     EXPECT_EQ(back.revision, 9u);
-    EXPECT_TRUE(back.whole);
+    EXPECT_TRUE(back.is_snapshot);
     EXPECT_EQ(back.age, 77);
     free(text);
     store_items_free(&s);
@@ -446,16 +446,16 @@
     }
     for (int i = 0; i < 200000; i++) {
         std::vector<uint8_t> d = hex(SYN);
-        d.resize(PACKET_HEAD + rng_below(&rng, 4) * 100);
+        d.resize(PACKET_HEADER_LEN + rng_below(&rng, 4) * 100);
         d[0] = (uint8_t)rng_next(&rng);
-        d[2] = (uint8_t)((d.size() - PACKET_HEAD) >> 8);
-        d[3] = (uint8_t)(d.size() - PACKET_HEAD);
+        d[2] = (uint8_t)((d.size() - PACKET_HEADER_LEN) >> 8);
+        d[3] = (uint8_t)(d.size() - PACKET_HEADER_LEN);
         d[19] = (uint8_t)rng_below(&rng, 16);
         for (int k = 20; k < 32; k++) {
             d[k] = rng_below(&rng, 3) ? (uint8_t)rng_below(&rng, 9) : d[k];
         }
         for (uint32_t k = rng_below(&rng, 3); k > 0; k--) {
-            d[rng_below(&rng, PACKET_HEAD)] = (uint8_t)rng_next(&rng);
+            d[rng_below(&rng, PACKET_HEADER_LEN)] = (uint8_t)rng_next(&rng);
         }
         flow_packet_t p;
         if (packet_read(&p, d.data(), d.size()) == 0) {
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -12,10 +12,10 @@
 struct Items {
     store_items_t s = {};
 
-    Items(uint64_t revision, bool whole = false)
+    Items(uint64_t revision, bool is_snapshot = false)
     {
         s.revision = revision;
-        s.whole = whole;
+        s.is_snapshot = is_snapshot;
     }
     ~Items()
     {
@@ -112,7 +112,7 @@
     merge(Items(11).add("c", "1", 11));
     merge(Items(12).add("a", nullptr, 12));
     store_items_t out = text(10);
-    EXPECT_FALSE(out.whole);
+    EXPECT_FALSE(out.is_snapshot);
     ASSERT_EQ(out.n, 2u);
     EXPECT_STREQ(out.item[0].key, "a");
     EXPECT_EQ(out.item[0].value, nullptr);
@@ -126,7 +126,7 @@
     merge(Items(10, true).add("a", "1", 5).add("b", "1", 6));
     merge(Items(12).add("a", nullptr, 12));
     store_items_t out = text(0);
-    EXPECT_TRUE(out.whole);
+    EXPECT_TRUE(out.is_snapshot);
     ASSERT_EQ(out.n, 1u);
     EXPECT_STREQ(out.item[0].key, "b");
     store_items_free(&out);
@@ -143,11 +143,11 @@
         merge(Items(11 + 2 * i).add(key.c_str(), nullptr, 11 + 2 * i));
     }
     store_items_t out = text(100);
-    EXPECT_TRUE(out.whole);
+    EXPECT_TRUE(out.is_snapshot);
     EXPECT_EQ(out.n, 0u);
     store_items_free(&out);
     out = text(1900);
-    EXPECT_FALSE(out.whole);
+    EXPECT_FALSE(out.is_snapshot);
     EXPECT_LE(out.n, 256u);
     store_items_free(&out);
 }
--- a/test/watch_test.cc
+++ b/test/watch_test.cc
@@ -66,7 +66,7 @@
     replica_on_progress(r, 2000);
     EXPECT_EQ(replica_current_at(r), 1000) << "nothing is known yet";
     items.revision = 5;
-    items.whole = true;
+    items.is_snapshot = true;
     ASSERT_EQ(replica_merge(r, 1500, &items, &changed), 0);
     replica_on_progress(r, 3000);
     EXPECT_EQ(replica_current_at(r), 3000);
@@ -152,7 +152,7 @@
         for (int i = 0; i < TOPICS; i++) {
             store_items_t items = {}, changed;
             items.revision = 5;
-            items.whole = true;
+            items.is_snapshot = true;
             t->replica[i] = replica_new(1);
             t->store[i] = store_new(url.c_str());
             ASSERT_EQ(replica_merge(t->replica[i], 1, &items, &changed), 0);
@@ -241,7 +241,7 @@
     char op[] = "{\"revision\":9,\"whole\":false,\"age_ms\":30,"
                 "\"items\":[]}";
     char *const text[TOPICS] = {upstreams, op};
-    char *both = store_topics_write(text);
+    char *both = store_topics_serialise(text);
     store_items_t s[TOPICS];
 
     ASSERT_EQ(store_topics_parse(s, both), 0);
