--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -321,8 +321,9 @@
 static void
 apply_updates(packets_t *p, duty_t *self)
 {
-    bool ends = flowset_evacuation_ending(p->flows);
-    bool locked = ends && pthread_mutex_trylock(&p->t->follow_lock) == 0;
+    bool evacuation_ending = flowset_evacuation_ending(p->flows);
+    bool locked =
+        evacuation_ending && pthread_mutex_trylock(&p->t->follow_lock) == 0;
     uint64_t known = 0;
     void *msg;
 
@@ -334,7 +335,7 @@
         apply_changes(p, msg);
         changes_free(msg);
     }
-    if (ends) {
+    if (evacuation_ending) {
         flowset_upstreams_synced(p->flows, known);
     }
 }
--- a/test/flow_prop_test.cc
+++ b/test/flow_prop_test.cc
@@ -29,7 +29,7 @@
     rng_t rng;
     std::map<uint64_t, flow_upstream_t> listed;
     std::map<uint64_t, ms_t> lapsed_at;
-    std::map<uint64_t, int> silent; /* probe timeouts in a row */
+    std::map<uint64_t, int> probe_timeouts; /* consecutive */
     std::set<uint64_t> refused;
     std::map<int, uint32_t> tag; /* tags of the callers' open flows */
     std::set<uint64_t> known;
@@ -82,10 +82,10 @@
         if (result == PROBE_REFUSED) {
             refused.insert(id);
         }
-        silent[id] = result == PROBE_TIMED_OUT  ? silent[id] + 1
-                     : result == PROBE_ANSWERED ? 0
-                     : result == PROBE_RESET    ? 0
-                                                : silent[id];
+        probe_timeouts[id] = result == PROBE_TIMED_OUT ? probe_timeouts[id] + 1
+                             : result == PROBE_ANSWERED ? 0
+                             : result == PROBE_RESET    ? 0
+                                                        : probe_timeouts[id];
         if (result == PROBE_ANSWERED) {
             refused.erase(id);
         }
@@ -113,7 +113,7 @@
         for (const flow_out_t &r : bed.resets) {
             bool feed = r.reset.service.port == 443;
             RC_ASSERT(refused.count(r.upstream) ||
-                      (feed && silent[r.upstream] >= 3));
+                      (feed && probe_timeouts[r.upstream] >= 3));
         }
         bed.resets.clear();
     }
@@ -162,9 +162,9 @@
             RC_ASSERT(d.upstream == tag[caller]);
             break;
         case FLOW_RESET:
-            RC_ASSERT(
-                refused.count(tag[caller]) ||
-                (silent[tag[caller]] >= 3 && route == FEED && p.len > 0));
+            RC_ASSERT(refused.count(tag[caller]) ||
+                      (probe_timeouts[tag[caller]] >= 3 && route == FEED &&
+                       p.len > 0));
             tag.erase(caller);
             break;
         case FLOW_DROP:
--- a/test/source_test.cc
+++ b/test/source_test.cc
@@ -37,7 +37,7 @@
     }
 
     const source_peer_t *
-    lead()
+    followed()
     {
         return sources_followed(&s, now);
     }
@@ -48,13 +48,13 @@
     addr_t self = at(1, 9);
 
     sources_init(&s, &self, "dc-a", 3);
-    EXPECT_EQ(lead(), nullptr);
+    EXPECT_EQ(followed(), nullptr);
     EXPECT_EQ(sources_check_peer(&s, now), nullptr);
 }
 
 TEST_F(Sources, DataCentreFollowsOneLeader)
 {
-    const source_peer_t *p = lead();
+    const source_peer_t *p = followed();
     addr_t leader;
 
     ASSERT_NE(p, nullptr);
@@ -83,19 +83,20 @@
  * is tried again after the backoff, and leads again when it answers. */
 TEST_F(Sources, FailedLeaderIsSkipped)
 {
-    addr_t first = lead()->addr, second;
+    addr_t first = followed()->addr, second;
 
     sources_failed(&s, now, &first);
-    ASSERT_NE(lead(), nullptr);
-    second = lead()->addr;
+    ASSERT_NE(followed(), nullptr);
+    second = followed()->addr;
     EXPECT_FALSE(addr_eq(&first, &second));
     now += 1600;
-    EXPECT_TRUE(addr_eq(&lead()->addr, &first));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &first));
     sources_failed(&s, now, &first);
     now += 1600;
-    EXPECT_TRUE(addr_eq(&lead()->addr, &second)); /* the backoff has doubled */
+    /* The backoff has doubled. */
+    EXPECT_TRUE(addr_eq(&followed()->addr, &second));
     sources_answered(&s, &first);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &first));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &first));
 }
 
 TEST_F(Sources, FollowsTheStoreWhenNoPeerAnswers)
@@ -104,7 +105,7 @@
         addr_t a = at(1, n);
         sources_failed(&s, now, &a);
     }
-    EXPECT_EQ(lead(), nullptr);
+    EXPECT_EQ(followed(), nullptr);
 }
 
 /* All announced instances of the data centre have stale data: each is skipped
@@ -113,8 +114,8 @@
 {
     int asked = 0;
 
-    while (lead() != nullptr) {
-        addr_t a = lead()->addr;
+    while (followed() != nullptr) {
+        addr_t a = followed()->addr;
         sources_failed(&s, now, &a);
         asked++;
     }
@@ -154,7 +155,7 @@
         const source_peer_t *p = sources_check_peer(&s, now);
         ASSERT_NE(p, nullptr);
         EXPECT_STREQ(p->data_centre, "dc-a");
-        EXPECT_FALSE(addr_eq(&p->addr, &lead()->addr));
+        EXPECT_FALSE(addr_eq(&p->addr, &followed()->addr));
         asked.insert(addr_text(&p->addr, text));
     }
     EXPECT_EQ(asked.size(), 2u);
@@ -166,7 +167,7 @@
 {
     for (int n = 1; n <= 3; n++) {
         addr_t a = at(1, n);
-        if (!addr_eq(&a, &lead()->addr)) {
+        if (!addr_eq(&a, &followed()->addr)) {
             sources_failed(&s, now, &a);
         }
     }
@@ -185,7 +186,7 @@
         const source_peer_t *p = sources_check_peer(&s, now);
         ASSERT_NE(p, nullptr);
         EXPECT_STREQ(p->data_centre, "dc-a");
-        EXPECT_FALSE(addr_eq(&p->addr, &lead()->addr));
+        EXPECT_FALSE(addr_eq(&p->addr, &followed()->addr));
     }
 }
 
@@ -218,7 +219,7 @@
 
     sources_init(&s, &self, "dc-a", 3);
     sources_add(&s, &seed, "");
-    EXPECT_EQ(lead(), nullptr);
+    EXPECT_EQ(followed(), nullptr);
     ASSERT_NE(sources_check_peer(&s, now), nullptr);
     EXPECT_TRUE(addr_eq(&sources_check_peer(&s, now)->addr, &seed));
 }
@@ -397,7 +398,7 @@
 
     /* The peer that instance I follows; -1: the store. */
     int
-    lead(int i)
+    followed(int i)
     {
         const source_peer_t *p = sources_followed(&s[(size_t)i], now);
         return p != nullptr ? number(p->addr) : -1;
@@ -409,7 +410,7 @@
     {
         std::vector<int> out;
         for (int i = 0; i < CENTRES * ANNOUNCED; i++) {
-            int to = lead(i);
+            int to = followed(i);
             if (to >= 0 && centre(to) != centre(i)) {
                 out.push_back(i);
             }
@@ -425,14 +426,14 @@
     std::set<int> watchers;
 
     for (int i = 0; i < CENTRES * ANNOUNCED; i++) {
-        if (lead(i) < 0) {
+        if (followed(i) < 0) {
             watchers.insert(i);
         }
     }
     EXPECT_EQ(watchers.size(), 2u);
     EXPECT_EQ(other_leaders().size(), (size_t)CENTRES - 2);
     for (int i : other_leaders()) {
-        EXPECT_EQ(watchers.count(lead(i)), 1u);
+        EXPECT_EQ(watchers.count(followed(i)), 1u);
     }
 }
 
@@ -443,8 +444,8 @@
     for (int i : other_leaders()) {
         const source_peer_t *p = sources_check_peer(&s[(size_t)i], now);
         ASSERT_NE(p, nullptr);
-        EXPECT_NE(number(p->addr), lead(i));
-        EXPECT_EQ(lead(number(p->addr)), -1);
+        EXPECT_NE(number(p->addr), followed(i));
+        EXPECT_EQ(followed(number(p->addr)), -1);
         EXPECT_FALSE(sources_needs_place(&s[(size_t)i], now));
     }
 }
@@ -454,15 +455,15 @@
 TEST_F(Watchers, LeaderFollowsTheStoreWhenItsWatcherFails)
 {
     int i = other_leaders()[0];
-    addr_t watcher = at(lead(i));
+    addr_t watcher = at(followed(i));
 
     sources_report_result(&s[(size_t)i], now, &watcher, SOURCE_FAILED);
-    EXPECT_EQ(lead(i), -1);
+    EXPECT_EQ(followed(i), -1);
     now += 5000;
-    EXPECT_EQ(lead(i), -1);
+    EXPECT_EQ(followed(i), -1);
     sources_answered(&s[(size_t)i], &watcher);
     now += 2000;
-    EXPECT_EQ(lead(i), number(watcher));
+    EXPECT_EQ(followed(i), number(watcher));
 }
 
 /* Guards against hundreds of watches of the store after the first start, until
@@ -480,7 +481,7 @@
     }
     const source_peer_t *p = sources_followed(&mine, now);
     ASSERT_NE(p, nullptr);
-    EXPECT_EQ(lead(number(p->addr)), -1);
+    EXPECT_EQ(followed(number(p->addr)), -1);
     EXPECT_TRUE(sources_needs_place(&mine, now));
     EXPECT_EQ(sources_redirected(&mine, &relay), 0);
     EXPECT_TRUE(addr_eq(&sources_followed(&mine, now)->addr, &relay));
@@ -505,7 +506,7 @@
         for (int k = 0; k < CENTRES * ANNOUNCED; k++) {
             int to = k, steps = 0;
             while (to >= 0 && steps <= CENTRES * ANNOUNCED) {
-                to = lead(to);
+                to = followed(to);
                 steps++;
             }
             ASSERT_LE(steps, CENTRES * ANNOUNCED);
@@ -519,15 +520,15 @@
  * it fails.  The relay's failure doesn't count as one of the leader. */
 TEST_F(Sources, FollowsTheRelayUntilItFails)
 {
-    addr_t leader = lead()->addr, relay = at(1, 77);
+    addr_t leader = followed()->addr, relay = at(1, 77);
 
     EXPECT_EQ(sources_redirected(&s, &relay), 0);
-    ASSERT_NE(lead(), nullptr);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &relay));
+    ASSERT_NE(followed(), nullptr);
+    EXPECT_TRUE(addr_eq(&followed()->addr, &relay));
     sources_report_result(&s, now, &relay, SOURCE_ANSWERED);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &relay));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &relay));
     sources_report_result(&s, now, &relay, SOURCE_FAILED);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &leader));
 }
 
 /* Otherwise all instances of a data centre would check with the announced
@@ -547,7 +548,7 @@
 /* Guards against endless redirects while the leader changes. */
 TEST_F(Sources, TooManyRedirectsRestartAtTheLeader)
 {
-    addr_t leader = lead()->addr;
+    addr_t leader = followed()->addr;
     int rc = 0, times = 0;
 
     for (; rc == 0 && times < 100; times++) {
@@ -556,7 +557,7 @@
     }
     EXPECT_EQ(rc, -ELOOP);
     EXPECT_LT(times, 20);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &leader));
     /* An answer shows that there is no cycle, and resets the limit. */
     for (times = 0; times < 100; times++) {
         addr_t to = at(1, 50 + times % 2);
@@ -569,10 +570,10 @@
 {
     addr_t self = at(1, 9);
 
-    addr_t leader = lead()->addr;
+    addr_t leader = followed()->addr;
 
     EXPECT_EQ(sources_redirected(&s, &self), -ELOOP);
-    EXPECT_TRUE(addr_eq(&lead()->addr, &leader));
+    EXPECT_TRUE(addr_eq(&followed()->addr, &leader));
 }
 
 /* The leader dies and this instance succeeds it.  It must follow the store,
@@ -587,7 +588,7 @@
         addr_t a = at(1, n);
         sources_remove(&s, &a);
     }
-    EXPECT_EQ(lead(), nullptr);
+    EXPECT_EQ(followed(), nullptr);
 }
 
 /* The instances of one data centre find places, each starting at the leader
