--- a/bench/conf_bench.c
+++ b/bench/conf_bench.c
@@ -14,9 +14,9 @@
 #include <string.h>
 #include <time.h>
 
-#define UPSTREAMS_A_SERVICE 6.67
-#define TEXT_A_SERVICE 160
-#define TEXT_AN_UPSTREAM 80
+#define UPSTREAMS_PER_SERVICE 6.67
+#define SERVICE_TEXT_MAX 160
+#define UPSTREAM_TEXT_MAX 80
 
 typedef struct {
     size_t n;
@@ -43,7 +43,7 @@
 }
 
 static char *
-reserve(size_t len)
+checked_malloc(size_t len)
 {
     char *p = malloc(len);
 
@@ -58,7 +58,7 @@
 static char *
 base_text(const texts_t *t)
 {
-    char *text = reserve(100 + (size_t)t->services * TEXT_A_SERVICE);
+    char *text = checked_malloc(100 + (size_t)t->services * SERVICE_TEXT_MAX);
     char *at = text + sprintf(text, "[site]\nname = \"fleet\"\n");
 
     for (uint32_t i = 0; i < t->services; i++) {
@@ -74,7 +74,7 @@
 static char *
 overlay_text(const texts_t *t, uint32_t from, uint32_t to, const char *name)
 {
-    char *text = reserve(100 + (size_t)(to - from) * TEXT_AN_UPSTREAM);
+    char *text = checked_malloc(100 + (size_t)(to - from) * UPSTREAM_TEXT_MAX);
     char *at = text + sprintf(text, "data_centre = \"%s\"\n", name);
 
     for (uint32_t i = from; i < to; i++) {
@@ -95,7 +95,7 @@
 
     *t = (texts_t){.n = dcs + 1,
                    .upstreams = upstreams,
-                   .services = (uint32_t)(upstreams / UPSTREAMS_A_SERVICE),
+                   .services = (uint32_t)(upstreams / UPSTREAMS_PER_SERVICE),
                    .drained = drained};
     t->src[0] = (conf_source_t){"base", base_text(t)};
     for (uint32_t i = 0; i < dcs; i++) {
@@ -167,7 +167,7 @@
 /* ---- Between instances ---- */
 
 static blob_t
-json_of(uint32_t upstreams, bool drained)
+bundle_json(uint32_t upstreams, bool drained)
 {
     conf_bundle_t b;
     char *json;
@@ -182,24 +182,25 @@
 bench_delta(uint32_t upstreams)
 {
     const blob_t none = {0};
-    blob_t old = json_of(upstreams, false), next = json_of(upstreams, true);
-    blob_t whole, delta, got;
-    double start = cpu_ms(), packed, made, applied;
+    blob_t old = bundle_json(upstreams, false),
+           next = bundle_json(upstreams, true);
+    blob_t full, delta, got;
+    double start = cpu_ms(), full_end, delta_end, apply_end;
 
-    delta_make(&none, &next, &whole);
-    packed = cpu_ms();
+    delta_make(&none, &next, &full);
+    full_end = cpu_ms();
     delta_make(&old, &next, &delta);
-    made = cpu_ms();
+    delta_end = cpu_ms();
     if (delta_apply(&old, &delta, BLOB_MAX, &got) < 0) {
         exit(1);
     }
-    applied = cpu_ms();
+    apply_end = cpu_ms();
     printf("%7u %9zu %9zu %8.2f %7zu %8.2f %8.2f\n", upstreams, next.len,
-           whole.len, packed - start, delta.len, made - packed,
-           applied - made);
+           full.len, full_end - start, delta.len, delta_end - full_end,
+           apply_end - delta_end);
     blob_free(&old);
     blob_free(&next);
-    blob_free(&whole);
+    blob_free(&full);
     blob_free(&delta);
     blob_free(&got);
 }
@@ -287,7 +288,7 @@
 }
 
 static void
-each(int n, const uint32_t *sizes, void (*bench)(uint32_t))
+run_sizes(int n, const uint32_t *sizes, void (*bench)(uint32_t))
 {
     for (int i = 0; i < n; i++) {
         bench(sizes[i]);
@@ -310,16 +311,16 @@
     printf(
         "# Model: bytes of text, ms of CPU to parse and check, MB held, ms "
         "to hash.\n#   ups    svc      text     parse        MB      hash\n");
-    each(n, sizes, bench_model);
+    run_sizes(n, sizes, bench_model);
     printf("# Between instances: bytes of JSON; whole, compressed: bytes, ms; "
            "one upstream\n# changed: bytes, ms to make, ms to apply.\n"
            "#   ups      json     whole       ms   delta     make    apply\n");
-    each(n, sizes, bench_delta);
+    run_sizes(n, sizes, bench_delta);
     printf("# Platform: calls, bytes of bodies, ms of CPU (client and "
            "stand-in), for: the first\n# apply; an instance's first read; an "
            "apply that changes one upstream; the read of it.\n"
            "#   ups  first apply           first read            apply       "
            "          read\n");
-    each(n, sizes, bench_platform);
+    run_sizes(n, sizes, bench_platform);
     return 0;
 }
--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -18,8 +18,8 @@
 #include <time.h>
 
 #define MB (1024.0 * 1024)
-#define UPSTREAMS_A_SERVICE 6.67 /* 120,000 by 18,000 */
-#define TEXT_MAX (16 << 20)      /* past what the platform holds */
+#define UPSTREAMS_PER_SERVICE 6.67 /* 120,000 by 18,000 */
+#define TEXT_MAX (16 << 20)        /* past what the platform holds */
 #define PROBE_S 15
 #define OVERHEAD 28
 #define QUEUE 65536
@@ -35,7 +35,7 @@
 }
 
 static size_t
-heap(void)
+heap_used(void)
 {
     struct mallinfo2 i = mallinfo2();
 
@@ -113,7 +113,7 @@
 
 /* An upstream's load report: 0 to 2 busy slots, by its address. */
 static void
-answer(core_t *c, ms_t now, const probe_t *p)
+answer_probe(core_t *c, ms_t now, const probe_t *p)
 {
     uint8_t out[512];
     char text[ADDR_STRLEN], json[256];
@@ -145,7 +145,7 @@
     for (ms_t end = *now + span; *now < end; *now += 50) {
         core_tick(c, *now);
         for (size_t i = 0; i < fake.n; i++) {
-            answer(c, *now, &fake.probe[i]);
+            answer_probe(c, *now, &fake.probe[i]);
         }
         fake.n = 0;
         for (size_t i = 0; i < fake.n_sync; i++) {
@@ -205,11 +205,11 @@
 }
 
 static void
-home_row(uint32_t n)
+owner_row(uint32_t n)
 {
     enum { CHANGES = 5 };
     member_t *all = members_at(n);
-    size_t before = heap();
+    size_t before = heap_used();
     core_t *c = new_core(1024, 1024, 64);
     double start, first;
 
@@ -222,7 +222,7 @@
         core_set_members(c, 1100 + i, all, n, INT64_MIN, 0);
     }
     printf("%6u %10.2f %10.2f %10.3f\n", n, first,
-           (cpu_ms() - start) / CHANGES, (double)(heap() - before) / MB);
+           (cpu_ms() - start) / CHANGES, (double)(heap_used() - before) / MB);
     core_free(c);
     free(all);
 }
@@ -295,8 +295,8 @@
 static void
 conf_row(uint32_t upstreams)
 {
-    uint32_t services = (uint32_t)(upstreams / UPSTREAMS_A_SERVICE + 0.5);
-    size_t len, before = heap(), model, core_mem;
+    uint32_t services = (uint32_t)(upstreams / UPSTREAMS_PER_SERVICE + 0.5);
+    size_t len, before = heap_used(), model, core_mem;
     double parse_ms, first_ms, change_ms, probe_ms;
     conf_t *conf = parse(services, upstreams, false, &len, &parse_ms);
     conf_t *next;
@@ -304,11 +304,11 @@
     ms_t now = 1000;
     member_t self = member_at(0);
 
-    model = heap() - before;
+    model = heap_used() - before;
     next = parse(services, upstreams, true, &len, &parse_ms);
     conf->version = 1;
     next->version = 2;
-    before = heap();
+    before = heap_used();
     c = new_core(1024, 1024, 64);
     core_set_members(c, now, &self, 1, INT64_MIN, 1);
     first_ms = cpu_ms();
@@ -317,7 +317,7 @@
     change_ms = cpu_ms();
     core_set_conf(c, now, next);
     change_ms = cpu_ms() - change_ms;
-    core_mem = heap() - before;
+    core_mem = heap_used() - before;
     fake.answering = true;
     tick_for(c, &now, 2000);
     fake.sent = fake.bytes = fake.bytes_in = 0;
@@ -367,27 +367,27 @@
 static double
 table_mb(uint32_t flows, uint32_t hints, uint32_t exchanges)
 {
-    size_t before = heap();
+    size_t before = heap_used();
     core_t *c = new_core(flows, hints, exchanges);
-    double mb = (double)(heap() - before) / MB;
+    double mb = (double)(heap_used() - before) / MB;
 
     core_free(c);
     return mb;
 }
 
 static void
-state_row(uint32_t n)
+table_row(uint32_t n)
 {
-    double least = table_mb(64, 64, 64);
+    double minimum = table_mb(64, 64, 64);
 
-    printf("%8u %10.3f %10.3f %10.3f\n", n, table_mb(n, 64, 64) - least,
-           table_mb(64, n, 64) - least, table_mb(64, 64, n) - least);
+    printf("%8u %10.3f %10.3f %10.3f\n", n, table_mb(n, 64, 64) - minimum,
+           table_mb(64, n, 64) - minimum, table_mb(64, 64, n) - minimum);
 }
 
 /* Pins copied to the backup home, of those at home here, and the bytes of one
  * copy. */
 static void
-sync_share(core_t *c, ms_t *now, uint32_t used)
+print_sync_share(core_t *c, ms_t *now, uint32_t used)
 {
     addr_t service = addr_at(10, 1000, 5683);
     core_stats_t stats;
@@ -418,7 +418,7 @@
                         .n_upstreams = 16};
     conf_upstream_t ups[16];
     core_t *c = new_core(2 * flows, 1024, 64);
-    member_t both[2] = {member_at(0), member_at(1)};
+    member_t members[2] = {member_at(0), member_at(1)};
     ms_t now = 1000;
     double start;
     uint32_t used, hints, exchanges;
@@ -432,9 +432,9 @@
     }
     s.upstreams = ups;
     conf.services = &s;
-    qsort(both, 2, sizeof(both[0]), by_id);
+    qsort(members, 2, sizeof(members[0]), by_id);
     fake.answering = true;
-    core_set_members(c, now, both, 2, INT64_MIN, 1);
+    core_set_members(c, now, members, 2, INT64_MIN, 1);
     core_set_conf(c, now, &conf);
     tick_for(c, &now, OWNER_SETTLE_MS + 2000); /* exclusive ownership */
     fake.answering = false;
@@ -447,7 +447,7 @@
     fake.answering = true;
     core_table_usage(c, &used, &hints, &exchanges);
     printf("%8u %10.3f %10u", flows, start * 1e3 / flows, used);
-    sync_share(c, &now, used);
+    print_sync_share(c, &now, used);
     core_free(c);
 }
 
@@ -506,7 +506,7 @@
     printf("# The home table: build, one member's change (ms of CPU), MB.\n"
            "#    n      build     change         MB\n");
     for (size_t i = 0; i < 5; i++) {
-        home_row(members[i]);
+        owner_row(members[i]);
     }
     printf("# The configuration: text, parse, model; the core: first, a "
            "change, MB; probes a second,\n# their bytes a second out and in, "
@@ -525,7 +525,7 @@
     printf("# Tables of N entries, MB: flows, hints, exchanges.\n"
            "#      n      flows      hints  exchanges\n");
     for (size_t i = 0; i < 4; i++) {
-        state_row(flows[i]);
+        table_row(flows[i]);
     }
     printf("# N flows of a udp service, half of them at home here: us a flow; "
            "pins kept; share of\n# them copied to the backup, bytes a copy.\n"
--- a/bench/flow_bench.c
+++ b/bench/flow_bench.c
@@ -15,7 +15,7 @@
 #define PACKETS 400000
 
 static void
-ignore(void *arg, const flow_out_t *out)
+ignore_output(void *arg, const flow_out_t *out)
 {
     (void)arg;
     (void)out;
@@ -42,7 +42,7 @@
 }
 
 static flow_conf_t *
-routes(uint32_t n, uint32_t services)
+make_routes(uint32_t n, uint32_t services)
 {
     flow_conf_t *c = calloc(1, sizeof(*c));
 
@@ -76,18 +76,18 @@
 }
 
 static size_t
-used(void)
+heap_used(void)
 {
     return mallinfo2().uordblks;
 }
 
 /* One packet of each kind in turn, over so many callers. */
 static double
-packets(flowset_t *f, uint32_t callers, uint32_t n_routes, bool opens)
+time_packets(flowset_t *f, uint32_t callers, uint32_t n_routes, bool opens)
 {
     static uint32_t tag[1 << 20];
     flow_decision_t d;
-    double from = cpu_us();
+    double start = cpu_us();
 
     for (uint32_t i = 0; i < PACKETS; i++) {
         uint32_t c = i % callers;
@@ -103,25 +103,28 @@
             tag[c] = d.tag;
         }
     }
-    return (cpu_us() - from) / PACKETS;
+    return (cpu_us() - start) / PACKETS;
 }
 
 static void
-row(uint32_t upstreams, uint32_t services, uint32_t n_routes, uint32_t flows)
+print_row(uint32_t upstreams, uint32_t services, uint32_t n_routes,
+          uint32_t flows)
 {
-    const flow_spec_t spec = {
-        .data_centre = "dc1", .seed = 1, .records_max = flows, .emit = ignore};
-    size_t base = used(), after_routes, after_upstreams, after_flows;
+    const flow_spec_t spec = {.data_centre = "dc1",
+                              .seed = 1,
+                              .records_max = flows,
+                              .emit = ignore_output};
+    size_t base = heap_used(), after_routes, after_upstreams, after_flows;
     flowset_t *f = flowset_new(&spec);
     double open_us, later_us;
 
-    flowset_set_conf(f, 0, routes(n_routes, services));
-    after_routes = used();
+    flowset_set_conf(f, 0, make_routes(n_routes, services));
+    after_routes = heap_used();
     announce(f, upstreams, services);
-    after_upstreams = used();
-    open_us = packets(f, flows, n_routes, true);
-    after_flows = used();
-    later_us = packets(f, flows, n_routes, false);
+    after_upstreams = heap_used();
+    open_us = time_packets(f, flows, n_routes, true);
+    after_flows = heap_used();
+    later_us = time_packets(f, flows, n_routes, false);
     printf("%9u %8u %7u %7u %8.0f %9.0f %8.0f %9.2f %9.2f\n", upstreams,
            services, n_routes, flows, (double)(after_routes - base) / n_routes,
            (double)(after_upstreams - after_routes) / upstreams,
@@ -136,10 +139,10 @@
     printf("%9s %8s %7s %7s %8s %9s %8s %9s %9s\n", "upstreams", "services",
            "routes", "flows", "B/route", "B/upstr.", "B/flow", "us/open",
            "us/later");
-    row(18, 2, 115, 300);
-    row(150, 2, 250, 2000);
-    row(1500, 20, 1000, 10000);
-    row(15000, 200, 4000, 31000);
-    row(120000, 1000, 18000, 31000);
+    print_row(18, 2, 115, 300);
+    print_row(150, 2, 250, 2000);
+    print_row(1500, 20, 1000, 10000);
+    print_row(15000, 200, 4000, 31000);
+    print_row(120000, 1000, 18000, 31000);
     return 0;
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -21,8 +21,8 @@
 #define BATCH 32
 #define PAYLOAD 272 /* a setpoint's size */
 #define FLOWS_MAX 4096
-#define WARM_MS 2000
-#define START_MS 3000 /* until the balancer trusts the upstream */
+#define WARMUP_MS 2000
+#define UPSTREAM_READY_MS 3000 /* until the balancer trusts the upstream */
 
 typedef struct {
     addr_t service, upstream;
@@ -43,7 +43,7 @@
 } batch_t;
 
 static clients_t clients;
-static bool ended;
+static bool stopping;
 
 static void
 fail(const char *what)
@@ -101,7 +101,7 @@
 {
     const options_t *o = arg;
     batch_t *b = calloc(1, sizeof(*b));
-    struct timeval wait = {.tv_usec = 100000};
+    struct timeval timeout = {.tv_usec = 100000};
     struct sockaddr_storage ss;
     socklen_t len = addr_to_sock(&o->upstream, &ss);
     int buffer = 4 << 20;
@@ -111,8 +111,8 @@
         fail("load: upstream");
     }
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof(buffer));
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
-    while (!__atomic_load_n(&ended, __ATOMIC_RELAXED)) {
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+    while (!__atomic_load_n(&stopping, __ATOMIC_RELAXED)) {
         int n = read_batch(fd, b);
         for (int i = 0; i < n; i++) {
             size_t n_bytes = b->msgs[i].msg_len;
@@ -139,7 +139,7 @@
     uint8_t data[DATAGRAM_MAX];
 
     (void)arg;
-    while (!__atomic_load_n(&ended, __ATOMIC_RELAXED)) {
+    while (!__atomic_load_n(&stopping, __ATOMIC_RELAXED)) {
         int n = epoll_wait(clients.epoll, ev, 64, 100);
         for (int i = 0; i < n; i++) {
             while (recv(ev[i].data.fd, data, sizeof(data), MSG_DONTWAIT) > 0) {
@@ -219,9 +219,9 @@
 {
     uint64_t sent, returned;
     long ticks;
-    double us;
+    double cpu_us;
 
-    send_until(o, clock_now() + WARM_MS);
+    send_until(o, clock_now() + WARMUP_MS);
     sent = clients.sent;
     returned = __atomic_load_n(&clients.returned, __ATOMIC_RELAXED);
     ticks = cpu_ticks(o->pid);
@@ -229,10 +229,10 @@
     ticks = cpu_ticks(o->pid) - ticks;
     sent = clients.sent - sent;
     returned = __atomic_load_n(&clients.returned, __ATOMIC_RELAXED) - returned;
-    us = (double)ticks * 1e6 / (double)sysconf(_SC_CLK_TCK);
+    cpu_us = (double)ticks * 1e6 / (double)sysconf(_SC_CLK_TCK);
     printf("sent=%llu returned=%llu cpu_us_per_datagram=%.3f\n",
            (unsigned long long)sent, (unsigned long long)returned,
-           returned > 0 ? us / (2.0 * (double)returned) : 0.0);
+           returned > 0 ? cpu_us / (2.0 * (double)returned) : 0.0);
 }
 
 int
@@ -256,11 +256,11 @@
         return 2;
     }
     pthread_create(&echo, NULL, echo_main, &o);
-    usleep(1000 * START_MS);
+    usleep(1000 * UPSTREAM_READY_MS);
     open_flows(&o);
     pthread_create(&count, NULL, count_main, NULL);
     measure(&o);
-    __atomic_store_n(&ended, true, __ATOMIC_RELAXED);
+    __atomic_store_n(&stopping, true, __ATOMIC_RELAXED);
     pthread_join(echo, NULL);
     pthread_join(count, NULL);
     return 0;
--- a/bench/member_bench.c
+++ b/bench/member_bench.c
@@ -17,15 +17,15 @@
 #define TICK_MS 50
 #define OVERHEAD (28 + 13 + 16) /* IP and UDP; envelope; tag */
 #define FETCH_MS 20             /* a version's way from peer to peer */
-#define RING 32
+#define RING_SLOTS 32
 #define STEADY_S 60
 #define TRIALS 5
-#define LIMIT_MS 600000
+#define TIMEOUT_MS 600000
 
 /* The letter's rates for the whole fleet, a second. */
-#define REPLACED_A_DAY 7400
-#define FAILED_A_DAY 560
-#define VERSIONS_A_DAY 12000
+#define REPLACED_PER_DAY 7400
+#define FAILED_PER_DAY 560
+#define VERSIONS_PER_DAY 12000
 #define DAY_S 86400.0
 
 typedef struct {
@@ -33,8 +33,8 @@
     uint64_t id;
     int index;
     int side;
-    ms_t leaving_at; /* MS_NEVER: it isn't */
-    ms_t back_at;    /* a successor starts then */
+    ms_t leaving_at;   /* MS_NEVER: it isn't */
+    ms_t successor_at; /* a successor starts then */
     uint64_t fetched;
     ms_t fetched_at;
     ms_t started_at;
@@ -44,7 +44,7 @@
 typedef struct {
     uint32_t to, len;
     uint64_t from;
-} parcel_t;
+} frame_t;
 
 typedef struct {
     uint8_t *p;
@@ -57,9 +57,9 @@
     ms_t now;
     rng_t rng;
     int loss; /* percent */
-    uint32_t named;
+    uint32_t names_used;
     uint64_t sent, bytes;
-    bucket_t ring[RING];
+    bucket_t ring[RING_SLOTS];
 } fleet_t;
 
 static fleet_t fleet;
@@ -81,30 +81,30 @@
 }
 
 static void
-send_out(const node_t *from, const member_out_t *out)
+transmit(const node_t *from, const member_out_t *out)
 {
-    parcel_t parcel = {.from = from->id, .len = (uint32_t)out->send.len};
+    frame_t frame = {.from = from->id, .len = (uint32_t)out->send.len};
     ms_t at = fleet.now + 1 + rng_below(&fleet.rng, 3);
 
-    memcpy(&parcel.to, out->send.to.ip + 12, sizeof(parcel.to));
+    memcpy(&frame.to, out->send.to.ip + 12, sizeof(frame.to));
     fleet.sent++;
     fleet.bytes += out->send.len + OVERHEAD;
     if (rng_below(&fleet.rng, 100) < (uint32_t)fleet.loss ||
-        fleet.node[parcel.to].side != from->side) {
+        fleet.node[frame.to].side != from->side) {
         return;
     }
-    bucket_put(&fleet.ring[at % RING], &parcel, sizeof(parcel));
-    bucket_put(&fleet.ring[at % RING], out->send.body, out->send.len);
+    bucket_put(&fleet.ring[at % RING_SLOTS], &frame, sizeof(frame));
+    bucket_put(&fleet.ring[at % RING_SLOTS], out->send.body, out->send.len);
 }
 
 static void
-on_out(void *arg, const member_out_t *out)
+on_member_out(void *arg, const member_out_t *out)
 {
     node_t *n = arg;
 
     switch (out->kind) {
     case MEMBER_OUT_SEND:
-        send_out(n, out);
+        transmit(n, out);
         return;
     case MEMBER_OUT_FETCH:
         n->fetched = out->fetch.version;
@@ -121,16 +121,16 @@
     size_t off = 0;
 
     while (off < b->len) {
-        parcel_t parcel;
+        frame_t frame;
         node_t *to;
-        memcpy(&parcel, b->p + off, sizeof(parcel));
-        off += sizeof(parcel);
-        to = &fleet.node[parcel.to];
+        memcpy(&frame, b->p + off, sizeof(frame));
+        off += sizeof(frame);
+        to = &fleet.node[frame.to];
         if (to->m != NULL) {
-            members_receive(to->m, fleet.now, parcel.from, b->p + off,
-                            parcel.len);
+            members_receive(to->m, fleet.now, frame.from, b->p + off,
+                            frame.len);
         }
-        off += parcel.len;
+        off += frame.len;
     }
     b->len = 0;
 }
@@ -138,12 +138,12 @@
 /* ---- Instances ---- */
 
 static member_t
-describe(int index, uint32_t named)
+describe(int index, uint32_t names_used)
 {
     member_t r = {.incarnation = 1796000000, .state = MEMBER_JOINING};
     uint32_t at = (uint32_t)index;
 
-    snprintf(r.name, sizeof(r.name), "entry-%05u", named);
+    snprintf(r.name, sizeof(r.name), "entry-%05u", names_used);
     snprintf(r.data_centre, sizeof(r.data_centre), "dc-%02u", at % 16);
     r.id = instance_id(r.name);
     r.peer_addr.ip[10] = r.peer_addr.ip[11] = 255;
@@ -159,10 +159,10 @@
     member_params_t params = MEMBER_PARAMS_DEFAULT;
 
     n->id = self->id;
-    n->leaving_at = n->back_at = n->fetched_at = MS_NEVER;
+    n->leaving_at = n->successor_at = n->fetched_at = MS_NEVER;
     n->started_at = fleet.now;
     n->active_at = MS_NEVER;
-    n->m = members_new(self, &params, fleet.now + 1, on_out, n);
+    n->m = members_new(self, &params, fleet.now + 1, on_member_out, n);
 }
 
 static int
@@ -176,12 +176,12 @@
 
 /* All know all, and nothing is news: a fleet that has run for long. */
 static void
-settle(members_t *m, const member_t *all)
+mark_converged(members_t *m, const member_t *all)
 {
     for (int i = 0; i < fleet.n; i++) {
         peer_t *p = table_find(m, all[i].id);
         if (p == NULL) {
-            p = view_add(m, fleet.now - LIMIT_MS, &all[i]);
+            p = view_add(m, fleet.now - TIMEOUT_MS, &all[i]);
         }
         list_remove(&p->gossip);
         p->acked_incarnation = all[i].incarnation;
@@ -196,14 +196,14 @@
     member_t *all = calloc((size_t)n, sizeof(*all));
     size_t before;
 
-    fleet = (fleet_t){.n = n, .now = LIMIT_MS, .rng = {.seed = (uint64_t)n}};
+    fleet = (fleet_t){.n = n, .now = TIMEOUT_MS, .rng = {.seed = (uint64_t)n}};
     fleet.node = calloc((size_t)n, sizeof(*fleet.node));
     if (all == NULL || fleet.node == NULL) {
         abort();
     }
     before = mallinfo2().uordblks + mallinfo2().hblkhd;
     for (int i = 0; i < n; i++) {
-        all[i] = describe(i, fleet.named++);
+        all[i] = describe(i, fleet.names_used++);
         all[i].state = MEMBER_ACTIVE;
         fleet.node[i].index = i;
         start(&fleet.node[i], &all[i]);
@@ -211,7 +211,7 @@
     }
     qsort(all, (size_t)n, sizeof(*all), by_id);
     for (int i = 0; i < n; i++) {
-        settle(fleet.node[i].m, all);
+        mark_converged(fleet.node[i].m, all);
     }
     free(all);
     return (mallinfo2().uordblks + mallinfo2().hblkhd - before) / (size_t)n;
@@ -223,7 +223,7 @@
     for (int i = 0; i < fleet.n; i++) {
         members_free(fleet.node[i].m);
     }
-    for (int i = 0; i < RING; i++) {
+    for (int i = 0; i < RING_SLOTS; i++) {
         free(fleet.ring[i].p);
     }
     free(fleet.node);
@@ -240,9 +240,9 @@
 /* A successor under a new name reads the platform's list (a live one's view),
  * and has the version in force. */
 static void
-succeed(node_t *n)
+start_successor(node_t *n)
 {
-    member_t self = describe(n->index, fleet.named++);
+    member_t self = describe(n->index, fleet.names_used++);
     const node_t *source = &fleet.node[n->index == 0 ? 1 : 0];
     const member_t *list;
     size_t k;
@@ -261,11 +261,11 @@
 }
 
 static void
-lead_life(node_t *n)
+advance_node(node_t *n)
 {
     if (n->m == NULL) {
-        if (fleet.now >= n->back_at) {
-            succeed(n);
+        if (fleet.now >= n->successor_at) {
+            start_successor(n);
         }
         return;
     }
@@ -279,7 +279,7 @@
     }
     if (fleet.now - 3000 >= n->leaving_at) {
         kill_node(n);
-        n->back_at = fleet.now + 1000;
+        n->successor_at = fleet.now + 1000;
     }
     else if (fleet.now - 2000 >= n->leaving_at) {
         members_set_self(n->m, fleet.now, MEMBER_GONE);
@@ -290,10 +290,10 @@
 step(void)
 {
     fleet.now++;
-    deliver_all(&fleet.ring[fleet.now % RING]);
+    deliver_all(&fleet.ring[fleet.now % RING_SLOTS]);
     for (int i = (int)(fleet.now % TICK_MS); i < fleet.n; i += TICK_MS) {
         node_t *n = &fleet.node[i];
-        lead_life(n);
+        advance_node(n);
         if (n->m != NULL) {
             members_tick(n->m, fleet.now);
         }
@@ -324,9 +324,9 @@
 } rate_t;
 
 static bool
-chance(double a_day)
+random_event(double per_day)
 {
-    double ms = DAY_S * 1000 / a_day;
+    double ms = DAY_S * 1000 / per_day;
 
     return rng_below(&fleet.rng, (uint32_t)ms) == 0;
 }
@@ -339,28 +339,28 @@
 
 /* The whole letter's changes, whatever the fleet's size. */
 static void
-letter_changes(uint64_t *version)
+apply_random_change(uint64_t *version)
 {
     node_t *n = any_node();
 
     if (n->m == NULL || n->leaving_at != MS_NEVER) {
         return;
     }
-    if (chance(REPLACED_A_DAY)) {
+    if (random_event(REPLACED_PER_DAY)) {
         n->leaving_at = fleet.now;
         members_set_self(n->m, fleet.now, MEMBER_LEAVING);
     }
-    else if (chance(FAILED_A_DAY)) {
+    else if (random_event(FAILED_PER_DAY)) {
         kill_node(n);
-        n->back_at = fleet.now + 10000;
+        n->successor_at = fleet.now + 10000;
     }
-    else if (chance(VERSIONS_A_DAY)) {
+    else if (random_event(VERSIONS_PER_DAY)) {
         members_set_version(n->m, fleet.now, ++*version, 1);
     }
 }
 
 static rate_t
-steady(bool changes, uint64_t *version)
+measure_steady(bool changes, uint64_t *version)
 {
     double span = (double)STEADY_S * fleet.n;
     double cpu = cpu_s();
@@ -368,7 +368,7 @@
     fleet.sent = fleet.bytes = 0;
     for (ms_t end = fleet.now + STEADY_S * 1000; fleet.now < end;) {
         if (changes) {
-            letter_changes(version);
+            apply_random_change(version);
         }
         step();
     }
@@ -379,7 +379,7 @@
 
 /* How many live instances hold ID to be silent. */
 static int
-suspecting(uint64_t id)
+count_suspecting(uint64_t id)
 {
     int count = 0;
 
@@ -392,18 +392,18 @@
 }
 
 static void
-detect(ms_t *first, ms_t *last)
+measure_detection(ms_t *first, ms_t *last)
 {
     node_t *n = &fleet.node[fleet.n - 1];
     ms_t from = fleet.now;
     int seen = 0;
 
     kill_node(n);
-    n->back_at = MS_NEVER;
+    n->successor_at = MS_NEVER;
     *first = -1;
-    while (seen < fleet.n - 1 && fleet.now - from < LIMIT_MS) {
+    while (seen < fleet.n - 1 && fleet.now - from < TIMEOUT_MS) {
         run(10);
-        seen = suspecting(n->id);
+        seen = count_suspecting(n->id);
         if (seen > 0 && *first < 0) {
             *first = fleet.now - from;
         }
@@ -429,7 +429,7 @@
     ms_t from = fleet.now;
 
     members_set_version(fleet.node[0].m, fleet.now, version, 1);
-    while (!all_have(version) && fleet.now - from < LIMIT_MS) {
+    while (!all_have(version) && fleet.now - from < TIMEOUT_MS) {
         run(10);
     }
     return fleet.now - from;
@@ -437,26 +437,27 @@
 
 /* Until one instance knows that all have VERSION. */
 static ms_t
-know_version(uint64_t version)
+confirm_version(uint64_t version)
 {
     ms_t from = fleet.now;
 
     spread_version(version);
     while (members_lowest_version(fleet.node[0].m) < version &&
-           fleet.now - from < LIMIT_MS) {
+           fleet.now - from < TIMEOUT_MS) {
         run(10);
     }
     return fleet.now - from;
 }
 
 static ms_t
-join(void)
+measure_join(void)
 {
     node_t *n = &fleet.node[fleet.n - 1];
 
-    n->back_at = fleet.now;
+    n->successor_at = fleet.now;
     run(TICK_MS + 1);
-    while (n->active_at == MS_NEVER && fleet.now - n->started_at < LIMIT_MS) {
+    while (n->active_at == MS_NEVER &&
+           fleet.now - n->started_at < TIMEOUT_MS) {
         run(10);
     }
     return fleet.now - n->started_at;
@@ -478,7 +479,7 @@
 /* Half of the fleet is cut off for a minute: the time until all agree again,
  * and the bytes of that time. */
 static ms_t
-heal(double *bytes)
+measure_heal(double *bytes)
 {
     ms_t from;
 
@@ -491,7 +492,7 @@
     }
     from = fleet.now;
     fleet.bytes = 0;
-    while (!all_agree() && fleet.now - from < LIMIT_MS) {
+    while (!all_agree() && fleet.now - from < TIMEOUT_MS) {
         run(100);
     }
     *bytes = (double)fleet.bytes * 1000 / (double)(fleet.now - from) / fleet.n;
@@ -516,19 +517,19 @@
 
 /* One look for who watches the platform, us. */
 static double
-watch_us(void)
+watch_check_us(void)
 {
     double start = cpu_s();
-    int looks = 0;
+    int checks = 0;
 
-    for (int i = 0; looks < 200; i++) {
+    for (int i = 0; checks < 200; i++) {
         const members_t *m = fleet.node[i % fleet.n].m;
         if (m != NULL) {
             members_watches_platform(m, 2);
-            looks++;
+            checks++;
         }
     }
-    return (cpu_s() - start) * 1e6 / looks;
+    return (cpu_s() - start) * 1e6 / checks;
 }
 
 static void
@@ -540,11 +541,11 @@
     rate_t busy;
 
     run(2000);
-    idle = steady(false, &version);
-    busy = steady(true, &version);
+    idle = measure_steady(false, &version);
+    busy = measure_steady(true, &version);
     printf("%6d %8.0f %6.1f %7.0f %8.0f %6.1f %7.0f %9zu %8.1f\n", n,
            idle.bytes, idle.messages, idle.cpu_us, busy.bytes, busy.messages,
-           busy.cpu_us, memory, watch_us());
+           busy.cpu_us, memory, watch_check_us());
     fflush(stdout);
     fleet_free();
 }
@@ -570,14 +571,14 @@
 
     fleet_new(n);
     run(1000);
-    known = know_version(1);
+    known = confirm_version(1);
     for (int i = 0; i < TRIALS; i++) {
-        ms_t noticed, all;
+        ms_t first_ms, all;
         times_add(&version, spread_version((uint64_t)i + 2));
-        detect(&noticed, &all);
-        times_add(&first, noticed);
+        measure_detection(&first_ms, &all);
+        times_add(&first, first_ms);
         times_add(&last, all);
-        joined = join();
+        joined = measure_join();
     }
     printf("%6d %7ld %7ld %7ld %8ld %8ld %8ld %8ld", n,
            (long)first.sum / TRIALS, (long)last.sum / TRIALS, (long)last.max,
@@ -591,14 +592,15 @@
 fault_row(int n)
 {
     double bytes;
-    uint64_t wrong;
+    uint64_t false_count;
     ms_t healed;
 
     fleet_new(n);
     run(1000);
-    wrong = false_suspicions();
-    healed = heal(&bytes);
-    printf(" %7lu %8ld %8.0f\n", (unsigned long)wrong, (long)healed, bytes);
+    false_count = false_suspicions();
+    healed = measure_heal(&bytes);
+    printf(" %7lu %8ld %8.0f\n", (unsigned long)false_count, (long)healed,
+           bytes);
     fflush(stdout);
     fleet_free();
 }
@@ -608,7 +610,7 @@
 static const uint8_t key[PEER_KEY_LEN] = {1};
 
 static size_t
-sealed(const uint8_t *body, size_t len)
+sealed_len(const uint8_t *body, size_t len)
 {
     uint8_t out[PEER_MSG_MAX];
     peer_msg_t msg = {.kind = PEER_MEMBER, .from = instance_id("entry-1")};
@@ -635,8 +637,8 @@
     for (int i = 0; i < brief + full; i++) {
         body_record(&b, &m, i < full);
     }
-    printf("%-28s %5zu %5zu %5zu\n", what, b.len, sealed(body, b.len),
-           sealed(body, b.len) + 28);
+    printf("%-28s %5zu %5zu %5zu\n", what, b.len, sealed_len(body, b.len),
+           sealed_len(body, b.len) + 28);
 }
 
 /* Sealing and opening one ping, us. */
@@ -675,15 +677,17 @@
 int
 main(int argc, char **argv)
 {
-    static const int usual[] = {8, 32, 128, 512, 1024, 2048, 3072};
+    static const int default_sizes[] = {8, 32, 128, 512, 1024, 2048, 3072};
     int n[16];
     int count = 0;
 
     for (int i = 1; i < argc && count < 16; i++) {
         n[count++] = atoi(argv[i]);
     }
-    for (size_t i = 0; argc == 1 && i < sizeof(usual) / sizeof(*usual); i++) {
-        n[count++] = usual[i];
+    for (size_t i = 0;
+         argc == 1 && i < sizeof(default_sizes) / sizeof(*default_sizes);
+         i++) {
+        n[count++] = default_sizes[i];
     }
     sizes();
     printf("# Cost an instance: without changes, and with the letter's (7,400 "
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -100,12 +100,12 @@
 }
 
 static void
-relay(int from, int to, void (*change)(int i))
+relay(int from, int to, void (*rewrite)(int i))
 {
     int n = read_batch(from);
 
     for (int i = 0; i < n; i++) {
-        change(i);
+        rewrite(i);
     }
     if (n > 0) {
         send_batch(to, n);
@@ -115,16 +115,17 @@
 int
 main(int argc, char **argv)
 {
-    addr_t back;
+    addr_t return_addr;
     struct pollfd fds[2];
 
     if (argc != 4 || addr_parse(&service, argv[1]) < 0 ||
-        addr_parse(&back, argv[2]) < 0 || addr_parse(&upstream, argv[3]) < 0) {
+        addr_parse(&return_addr, argv[2]) < 0 ||
+        addr_parse(&upstream, argv[3]) < 0) {
         fprintf(stderr, "usage: relay SERVICE RETURN UPSTREAM\n");
         return 2;
     }
     fds[0] = (struct pollfd){.fd = open_udp(&service), .events = POLLIN};
-    fds[1] = (struct pollfd){.fd = open_udp(&back), .events = POLLIN};
+    fds[1] = (struct pollfd){.fd = open_udp(&return_addr), .events = POLLIN};
     if (fds[0].fd < 0 || fds[1].fd < 0) {
         return 1;
     }
--- a/bench/tagged_load.c
+++ b/bench/tagged_load.c
@@ -18,7 +18,7 @@
 #define STEP_MS 2
 
 static uint64_t arrived;
-static bool ended;
+static bool stopping;
 
 /* The balancer's probes find the upstream alive. */
 static int
@@ -37,13 +37,13 @@
 }
 
 static void *
-count(void *arg)
+count_main(void *arg)
 {
     uint8_t data[2048];
     addr_t from;
     int fd = *(int *)arg;
 
-    while (!__atomic_load_n(&ended, __ATOMIC_RELAXED)) {
+    while (!__atomic_load_n(&stopping, __ATOMIC_RELAXED)) {
         if (si_udp_receive(fd, &from, data, sizeof(data)) >= 0) {
             arrived++;
         }
@@ -78,11 +78,11 @@
 {
     static const uint8_t payload[PAYLOAD];
     uint8_t out[PACKET_BYTES];
-    ms_t begin = clock_now();
+    ms_t start = clock_now();
     uint64_t sent = 0;
 
-    while (clock_now() - begin < seconds * 1000) {
-        uint64_t due = (uint64_t)((clock_now() - begin) * rate / 1000);
+    while (clock_now() - start < seconds * 1000) {
+        uint64_t due = (uint64_t)((clock_now() - start) * rate / 1000);
         for (; sent < due; sent++) {
             end_packet_t p = {.ack = true,
                               .seq = (uint32_t)(sent / FLOWS * PAYLOAD),
@@ -103,7 +103,7 @@
 int
 main(int argc, char **argv)
 {
-    addr_t target, upstream, any = {.ip = {[10] = 255, [11] = 255}};
+    addr_t target, upstream, any_addr = {.ip = {[10] = 255, [11] = 255}};
     pthread_t thread;
     double before;
     int in, out;
@@ -115,17 +115,17 @@
         return 2;
     }
     in = si_udp_open(&upstream);
-    out = si_udp_open(&any);
+    out = si_udp_open(&any_addr);
     if (in < 0 || out < 0 || listen_at(&upstream) < 0) {
         fprintf(stderr, "tagged_load: no socket\n");
         return 1;
     }
-    pthread_create(&thread, NULL, count, &in);
+    pthread_create(&thread, NULL, count_main, &in);
     before = cpu_ticks(atol(argv[3]));
     send_all(out, &target, (uint32_t)strtoul(argv[4], NULL, 16), atol(argv[5]),
              atol(argv[6]));
     usleep(200000);
-    ended = true;
+    stopping = true;
     pthread_join(thread, NULL);
     printf("arrived=%llu cpu_us=%.3f\n", (unsigned long long)arrived,
            (cpu_ticks(atol(argv[3])) - before) * 1e6 /
