--- a/bench/conf_bench.c
+++ b/bench/conf_bench.c
@@ -1,7 +1,7 @@
-/* conf_bench: what a configuration costs by its size: to parse, hold, hash,
- * pass on between instances, and keep in the platform.  Texts are generated:
- * 6.67 upstreams a service, up to 16 data centres, as in the letter; a change
- * sets one upstream to drain.
+/* conf_bench: measures the cost of a configuration by its size: parsing,
+ * memory, hashing, transfer between instances, and storage in the platform.
+ * Generated texts have 6.67 upstreams per service and up to 16 data centres,
+ * as in the brief.  The measured change sets one upstream to draining.
  *
  * usage: conf_bench [UPSTREAMS ...]
  */
@@ -23,7 +23,7 @@
     char file[SOURCES_MAX][NAME_LEN];
     conf_source_t src[SOURCES_MAX];
     uint32_t upstreams, services;
-    bool drained; /* the one in the middle */
+    bool drained; /* the middle upstream is draining */
 } texts_t;
 
 static double
@@ -131,7 +131,7 @@
     texts_free(&t);
 }
 
-/* ---- The model ---- */
+/* ---- Model ---- */
 
 static void
 bench_model(uint32_t upstreams)
@@ -205,7 +205,7 @@
     blob_free(&got);
 }
 
-/* ---- The platform ---- */
+/* ---- Platform ---- */
 
 typedef struct {
     plat_t *p;
--- a/bench/datapath.sh
+++ b/bench/datapath.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# The data path: processor time for each datagram that siskind forwards of
-# pinned udp flows, beside the bare relay in the same run.  Real processes on
-# loopback; the relay and siskind take turns, so that what else the machine
-# does falls on both.  usage: bench/datapath.sh BUILD [TURNS] > table
+# Measures the data path: processor time for each datagram of pinned udp flows
+# that siskind forwards, compared with the bare relay in the same run.  Runs real
+# processes on loopback.  The relay and siskind alternate, so that other load on
+# the machine affects both.
+# usage: bench/datapath.sh BUILD [TURNS] > table
 set -u
 b=$1
 turns=${2:-5}
@@ -14,14 +15,14 @@
 url=http://127.0.0.1:$port
 declare -A process
 
-finish() {
+cleanup() {
     for p in "${process[@]}"; do
         kill -KILL "$p" 2>/dev/null
         wait "$p" 2>/dev/null
     done
     rm -rf "$dir"
 }
-trap finish EXIT
+trap cleanup EXIT
 
 write_files() {
     cat >"$dir/base.toml" <<END
@@ -84,7 +85,7 @@
     stop siskind
 }
 
-# Median, least and greatest processor time; share that came back.
+# Prints median, minimum and maximum processor time, and the share returned.
 summary() {             # FILE
     sed 's/[a-z_]*=//g' "$1" | sort -k3 -n | awk '
         { t[NR] = $3; sent += $1; back += $2 }
@@ -109,9 +110,13 @@
         relay_turn $rate >>"$dir/relay.out"
         siskind_turn $rate >>"$dir/siskind.out"
     done
-    read -r r r1 r2 rs <<<"$(summary "$dir/relay.out")"
-    read -r s s1 s2 ss <<<"$(summary "$dir/siskind.out")"
-    printf '%-8s %-8s %8s %8s %8s %9s\n' $rate relay $r $r1 $r2 $rs
-    printf '%-8s %-8s %8s %8s %8s %9s  ratio %s\n' $rate siskind $s $s1 $s2 \
-        $ss "$(awk "BEGIN {printf \"%.2f\", $s / $r}")"
+    read -r relay relay_min relay_max relay_returned \
+        <<<"$(summary "$dir/relay.out")"
+    read -r siskind siskind_min siskind_max siskind_returned \
+        <<<"$(summary "$dir/siskind.out")"
+    printf '%-8s %-8s %8s %8s %8s %9s\n' $rate relay $relay $relay_min \
+        $relay_max $relay_returned
+    printf '%-8s %-8s %8s %8s %8s %9s  ratio %s\n' $rate siskind $siskind \
+        $siskind_min $siskind_max $siskind_returned \
+        "$(awk "BEGIN {printf \"%.2f\", $siskind / $relay}")"
 done
--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -1,7 +1,7 @@
-/* fleet_bench: what the size of the fleet and of the configuration costs one
- * instance, outside membership: the home table, the configuration (text,
- * model, a change), identity probes, flow state, and a new flow.  Pure: the
- * core with fakes for its peers and upstreams, and simulated time.
+/* fleet_bench: measures the cost of one instance by the size of the fleet and
+ * of the configuration, without membership: the owner table, the configuration
+ * (text, model, a change), identity probes, flow state, and a new flow.  Runs
+ * the core with fake peers and upstreams under simulated time, without I/O.
  *
  * usage: fleet_bench
  */
@@ -18,8 +18,8 @@
 #include <time.h>
 
 #define MB (1024.0 * 1024)
-#define UPSTREAMS_PER_SERVICE 6.67 /* 120,000 by 18,000 */
-#define TEXT_MAX (16 << 20)        /* past what the platform holds */
+#define UPSTREAMS_PER_SERVICE 6.67 /* 120,000 upstreams, 18,000 services */
+#define TEXT_MAX (16 << 20)        /* larger than the platform accepts */
 #define PROBE_S 15
 #define OVERHEAD 28
 #define QUEUE 65536
@@ -67,11 +67,11 @@
     core_t *core;
     bool answering;
     uint64_t sent, bytes; /* to upstreams */
-    uint64_t bytes_in;    /* their answers */
+    uint64_t bytes_in;    /* answers from upstreams */
     size_t n;
     probe_t probe[QUEUE];
     size_t n_sync;
-    peer_msg_t sync[SYNC_QUEUE]; /* copies that the backup confirms */
+    peer_msg_t sync[SYNC_QUEUE]; /* acknowledgements of the fake backup */
 } fake_t;
 
 static fake_t fake;
@@ -111,7 +111,8 @@
     f->n++;
 }
 
-/* An upstream's load report: 0 to 2 busy slots, by its address. */
+/* Answers with a load report of 0 to 2 busy slots, by the upstream's address.
+ */
 static void
 answer_probe(core_t *c, ms_t now, const probe_t *p)
 {
@@ -170,7 +171,7 @@
     return core_new(&p, on_core, &fake);
 }
 
-/* ---- The home table ---- */
+/* ---- Owner table ---- */
 
 static member_t
 member_at(uint32_t i)
@@ -227,7 +228,7 @@
     free(all);
 }
 
-/* ---- The configuration ---- */
+/* ---- Configuration ---- */
 
 typedef struct {
     char *base, *overlay;
@@ -336,7 +337,7 @@
     conf_free(next);
 }
 
-/* Probes of one of N members, with the services of a group of 128. */
+/* Probes sent by one of N members, with the services of a group of 128. */
 static void
 probe_row(uint32_t n)
 {
@@ -384,8 +385,8 @@
            table_mb(64, n, 64) - minimum, table_mb(64, 64, n) - minimum);
 }
 
-/* Pins copied to the backup home, of those at home here, and the bytes of one
- * copy. */
+/* Prints the share of the USED pins, which this instance owns, that were copied
+ * to the backup owner, and the bytes of one copy. */
 static void
 print_sync_share(core_t *c, ms_t *now, uint32_t used)
 {
@@ -403,7 +404,7 @@
            (double)stats.sync_bytes / (double)stats.sync_sent);
 }
 
-/* New opaque flows, half of them at home here: us each. */
+/* Opens opaque flows, of which this instance owns half; prints us per flow. */
 static void
 open_row(uint32_t flows)
 {
--- a/bench/flow_bench.c
+++ b/bench/flow_bench.c
@@ -1,6 +1,6 @@
-/* flow_bench: what a tagged instance's decisions cost, by the number of
- * upstreams, routes and flows remembered: memory, and processor time for a
- * new flow and for a later packet.
+/* flow_bench: measures the memory of a tagged instance's flow state and the
+ * processor time for a new flow and for a later packet, by the number of
+ * upstreams, routes and recorded flows.
  *
  * usage: flow_bench > table
  */
@@ -81,7 +81,8 @@
     return mallinfo2().uordblks;
 }
 
-/* One packet of each kind in turn, over so many callers. */
+/* Sends PACKETS packets, spread over CALLERS flows in turn; all open a flow or
+ * all are later packets.  Returns the processor time of a packet in us. */
 static double
 time_packets(flowset_t *f, uint32_t callers, uint32_t n_routes, bool opens)
 {
--- a/bench/load.c
+++ b/bench/load.c
@@ -1,6 +1,6 @@
 /* load: sends datagrams of many flows at a fixed rate through a balancer or
- * the bare relay, echoes them as the upstream, and tells the processor time
- * that the measured process spent on each datagram it forwarded.
+ * the bare relay, echoes them as the upstream, and prints the processor time
+ * that the measured process spent per forwarded datagram.
  *
  * usage: load SERVICE UPSTREAM PID FLOWS RATE SECONDS
  */
@@ -19,10 +19,11 @@
 #include <unistd.h>
 
 #define BATCH 32
-#define PAYLOAD 272 /* a setpoint's size */
+#define PAYLOAD 272 /* size of a setpoint */
 #define FLOWS_MAX 4096
 #define WARMUP_MS 2000
-#define UPSTREAM_READY_MS 3000 /* until the balancer trusts the upstream */
+#define UPSTREAM_READY_MS 3000 /* until the upstream's identity is verified   \
+                                */
 
 typedef struct {
     addr_t service, upstream;
@@ -95,7 +96,7 @@
     *len = n < 0 ? *len : SPP_LEN + (size_t)n;
 }
 
-/* The upstream: sends each datagram back, header and all. */
+/* The upstream: sends each datagram back with its proxy header. */
 static void *
 echo_main(void *arg)
 {
@@ -131,7 +132,7 @@
     return NULL;
 }
 
-/* Counts what comes back to the flows' sockets. */
+/* Counts the datagrams returned to the flows' sockets. */
 static void *
 count_main(void *arg)
 {
@@ -192,7 +193,7 @@
     return user + system;
 }
 
-/* Sends at the rate, in small bursts, until UNTIL. */
+/* Sends small bursts at the requested rate until UNTIL. */
 static void
 send_until(const options_t *o, ms_t until)
 {
--- a/bench/member.gp
+++ b/bench/member.gp
@@ -1,4 +1,4 @@
-# The tables of docs/bench/member.txt as docs/bench/member.svg.
+# Plots the tables of docs/bench/member.txt to docs/bench/member.svg.
 # usage: gnuplot bench/member.gp
 cost = "< awk '$1 > 0 && NF == 9' docs/bench/member.txt"
 time = "< awk '$1 > 0 && NF == 11' docs/bench/member.txt"
--- a/bench/member_bench.c
+++ b/bench/member_bench.c
@@ -1,7 +1,7 @@
-/* member_bench: what membership costs and how fast it is, by the size of the
- * fleet.  A driver with simulated time: instances, and a switch that delays
- * each message by 1 to 3 ms.  Bytes count 28 of IP and UDP and 29 of envelope
- * and tag a message.
+/* member_bench: measures the cost and the latency of membership by the size of
+ * the fleet.  Simulates time, the instances, and a switch that delays each
+ * message by 1 to 3 ms.  Byte counts include 28 bytes of IP and UDP headers
+ * and 29 bytes of envelope and tag per message.
  *
  * usage: member_bench [N ...]
  */
@@ -16,13 +16,13 @@
 
 #define TICK_MS 50
 #define OVERHEAD (28 + 13 + 16) /* IP and UDP; envelope; tag */
-#define FETCH_MS 20             /* a version's way from peer to peer */
+#define FETCH_MS 20             /* transfer of a version between peers */
 #define RING_SLOTS 32
 #define STEADY_S 60
 #define TRIALS 5
 #define TIMEOUT_MS 600000
 
-/* The letter's rates for the whole fleet, a second. */
+/* The brief's rates for the whole fleet. */
 #define REPLACED_PER_DAY 7400
 #define FAILED_PER_DAY 560
 #define VERSIONS_PER_DAY 12000
@@ -33,8 +33,8 @@
     uint64_t id;
     int index;
     int side;
-    ms_t leaving_at;   /* MS_NEVER: it isn't */
-    ms_t successor_at; /* a successor starts then */
+    ms_t leaving_at;   /* MS_NEVER: not leaving */
+    ms_t successor_at; /* start time of its successor */
     uint64_t fetched;
     ms_t fetched_at;
     ms_t started_at;
@@ -174,7 +174,8 @@
     return x->id < y->id ? -1 : x->id > y->id;
 }
 
-/* All know all, and nothing is news: a fleet that has run for long. */
+/* Completes the view of M and empties its gossip queue: the state of a fleet
+ * after a long run. */
 static void
 mark_converged(members_t *m, const member_t *all)
 {
@@ -237,8 +238,8 @@
     n->leaving_at = MS_NEVER;
 }
 
-/* A successor under a new name reads the platform's list (a live one's view),
- * and has the version in force. */
+/* Starts a successor under a new name, with the platform's list (simulated by
+ * the view of a live instance) and the version in force. */
 static void
 start_successor(node_t *n)
 {
@@ -320,7 +321,7 @@
 }
 
 typedef struct {
-    double bytes, messages, cpu_us; /* a second and instance */
+    double bytes, messages, cpu_us; /* per second and instance */
 } rate_t;
 
 static bool
@@ -337,7 +338,7 @@
     return &fleet.node[rng_below(&fleet.rng, (uint32_t)fleet.n)];
 }
 
-/* The whole letter's changes, whatever the fleet's size. */
+/* Applies changes at the brief's rates for the whole fleet, at every size. */
 static void
 apply_random_change(uint64_t *version)
 {
@@ -377,7 +378,7 @@
                     .cpu_us = (cpu_s() - cpu) * 1e6 / span};
 }
 
-/* How many live instances hold ID to be silent. */
+/* Counts the live instances that hold ID as suspect or gone. */
 static int
 count_suspecting(uint64_t id)
 {
@@ -435,7 +436,7 @@
     return fleet.now - from;
 }
 
-/* Until one instance knows that all have VERSION. */
+/* Time until one instance has learned that all have VERSION. */
 static ms_t
 confirm_version(uint64_t version)
 {
@@ -476,8 +477,8 @@
     return true;
 }
 
-/* Half of the fleet is cut off for a minute: the time until all agree again,
- * and the bytes of that time. */
+/* Partitions the fleet into halves for a minute.  Returns the time until all
+ * views agree again; BYTES: bytes per second and instance in that time. */
 static ms_t
 measure_heal(double *bytes)
 {
@@ -515,7 +516,7 @@
     return sum;
 }
 
-/* One look for who watches the platform, us. */
+/* Time of one members_watches_platform() call in us. */
 static double
 watch_check_us(void)
 {
@@ -550,7 +551,6 @@
     fleet_free();
 }
 
-/* The mean and the largest of some times. */
 typedef struct {
     ms_t sum, max;
 } times_t;
@@ -641,7 +641,7 @@
            sealed_len(body, b.len) + 28);
 }
 
-/* Sealing and opening one ping, us. */
+/* Time to seal and open one ping in us. */
 static double
 seal_us(void)
 {
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -1,6 +1,6 @@
-/* relay: the least that a balancer of datagrams can do, as a baseline for
- * the data path: recvmmsg, the proxy header put before or taken off, sendmmsg.
- * One thread, no decisions.
+/* relay: a minimal datagram relay, the baseline for the data path.  Receives
+ * with recvmmsg, adds or strips the proxy header, and sends with sendmmsg, in
+ * one thread and without any decision.
  *
  * usage: relay SERVICE RETURN UPSTREAM, each as IP:PORT
  */
@@ -42,7 +42,7 @@
     return fd;
 }
 
-/* Reads a batch; room for a header is left before each datagram. */
+/* Reads a batch, with headroom for a proxy header before each datagram. */
 static int
 read_batch(int fd)
 {
--- a/bench/tagged.sh
+++ b/bench/tagged.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Processor time for each packet of open tagged flows, beside the bare relay in
-# the same run.  usage: bench/tagged.sh BUILD [TURNS] > table
+# Measures the processor time per packet of open tagged flows, compared with the
+# bare relay in the same run.
+# usage: bench/tagged.sh BUILD [TURNS] > table
 set -u
 turns=${2:-3}
 set -- "$1"
@@ -8,7 +9,7 @@
 up=$net.220:7100
 seconds=4
 
-entry() {               # announces an upstream that is only a socket
+announce_upstream() {   # announces an upstream that consists of a socket only
     local value
     value=$(printf '{"service":"feed","address":"%s","zone":"dc-0","slots":2,"state":"ready"}' $up | base64 -w0)
     curl -s -o /dev/null -X POST "$store/api/kv-txn?as=platform" -d \
@@ -17,7 +18,7 @@
 
 start_store
 configure 1
-entry
+announce_upstream
 settings 1 dc-0
 sed -i 's/^stop_ms/log_level = "warn"\nstop_ms/' 1.toml
 instance 1
@@ -32,9 +33,9 @@
         "$b/tagged_load" $net.230:7000 $up "${process[relay]}" ab $rate $seconds >>relay.out
         "$b/tagged_load" $net.1:7000 $up "${process[i1]}" ab $rate $seconds >>siskind.out
     done
-    for who in relay siskind; do
-        sed 's/.*arrived=\([0-9]*\) cpu_us=\(.*\)/\2 \1/' $who.out | sort -n |
-            sed -n "$(((turns + 1) / 2))p" >$who.median
+    for target in relay siskind; do
+        sed 's/.*arrived=\([0-9]*\) cpu_us=\(.*\)/\2 \1/' $target.out | sort -n |
+            sed -n "$(((turns + 1) / 2))p" >$target.median
     done
     echo "rate=$rate relay=$(cut -d' ' -f1 relay.median) siskind=$(cut -d' ' -f1 siskind.median) ratio=$(paste -d' ' siskind.median relay.median | awk '{printf "%.2f", $1 / $3}') arrived=$(cut -d' ' -f2 siskind.median)/$(cut -d' ' -f2 relay.median)"
 done
--- a/bench/tagged_load.c
+++ b/bench/tagged_load.c
@@ -1,6 +1,6 @@
 /* tagged_load: sends packets of tagged flows to a balancer or the bare relay
- * at a fixed rate, counts what arrives at the upstream's address, and tells
- * the processor time that the measured process spent on each.
+ * at a fixed rate, counts the packets that arrive at the upstream's address,
+ * and prints the processor time that the measured process spent per packet.
  *
  * usage: tagged_load TARGET UPSTREAM PID TAG RATE SECONDS
  */
@@ -20,7 +20,7 @@
 static uint64_t arrived;
 static bool stopping;
 
-/* The balancer's probes find the upstream alive. */
+/* Accepts the balancer's probes, so that the upstream counts as alive. */
 static int
 listen_at(const addr_t *a)
 {
@@ -117,7 +117,7 @@
     in = si_udp_open(&upstream);
     out = si_udp_open(&any_addr);
     if (in < 0 || out < 0 || listen_at(&upstream) < 0) {
-        fprintf(stderr, "tagged_load: no socket\n");
+        fprintf(stderr, "tagged_load: cannot open the sockets\n");
         return 1;
     }
     pthread_create(&thread, NULL, count_main, &in);
