--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
-# siskinfork: `make demo` and `make check` set up what they need themselves.
+# siskinfork: `make demo` and `make check` install the packages that they need.
 #
-# One directory a library or program; a directory's *.c and *.cc files are its
-# sources.  Programs: siskind, siskinctl, standin/*_main.c.  Tests: test/*.cc.
+# Each directory is a library or program, built from its *.c and *.cc files.
+# Programs: siskind, siskinctl, standin/*_main.c.  Tests: test/*.cc.
 
 CC      = gcc
 CXX     = g++
@@ -22,7 +22,7 @@
 LIBOBJ   = $(patsubst %,$(O)/%.o,$(LIBSRC))
 LIB      = $(B)/libsiskin.a
 
-# Stand-ins: one program for each standin/NAME_main.c, the other files shared.
+# Stand-ins: each standin/NAME_main.c is a program; the other files are shared.
 SIMAIN   = $(wildcard standin/*_main.c)
 SISRC    = $(filter-out $(SIMAIN),$(wildcard standin/*.c))
 SIOBJ    = $(patsubst %,$(O)/%.o,$(SISRC))
@@ -75,7 +75,7 @@
 $(B)/%_test: $(O)/test/%_test.cc.o $(TESTOBJ) $(SIOBJ) $(LIB)
 	$(CXX) $(SAN) $^ -o $@ -lgtest_main -lgtest -lrapidcheck $(LDLIBS)
 
-# The fleet of test/ drives the decision code under virtual time.
+# Links the simulated fleet of test/, which runs core/ under virtual time.
 $(B)/balance: $(O)/bench/balance.cc.o $(TESTOBJ) $(LIB)
 	$(CXX) $(SAN) $^ -o $@ $(LDLIBS)
 
@@ -99,7 +99,7 @@
 setup:
 	./.ci/setup
 
-# The checks themselves, without installing anything.
+# Builds and runs all tests without installing packages.
 SCHEDULES ?= 1000
 test: all tests
 	SISKIN_SCHEDULES=$(SCHEDULES) ./test/run $(B)
@@ -117,13 +117,13 @@
 	$(B)/balance >docs/bench/balance.txt
 	cat docs/bench/balance.txt
 
-# More schedules of faults than CI has time for: make soak N=20000 SEED=7
+# Runs more fault schedules than CI has time for: make soak N=20000 SEED=7
 N    ?= 5000
 SEED ?= $(shell date +%s)
 soak: $(B)/core_prop_test
 	SISKIN_SCHEDULES=$(N) SISKIN_SEED=$(SEED) $(B)/core_prop_test
 
-# The soak of tagged flows with real processes, JOBS seeds at a time.
+# Runs the soak test of tagged flows with real processes, JOBS seeds at a time.
 SEEDS ?= 1 2 3 4 5 6 7 8
 JOBS  ?= 3
 soak-tagged: all
--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -111,8 +111,7 @@
     f->n++;
 }
 
-/* Answers with a load report of 0 to 2 busy slots, by the upstream's address.
- */
+/* Reports 0 to 2 busy slots, depending on the upstream's address. */
 static void
 answer_probe(core_t *c, ms_t now, const probe_t *p)
 {
@@ -385,8 +384,8 @@
            table_mb(64, n, 64) - minimum, table_mb(64, 64, n) - minimum);
 }
 
-/* Prints the share of the USED pins, which this instance owns, that were copied
- * to the backup owner, and the bytes of one copy. */
+/* Prints the share of the USED pins, which this instance owns, that were
+ * copied to the backup owner, and the bytes of one copy. */
 static void
 print_sync_share(core_t *c, ms_t *now, uint32_t used)
 {
--- a/bench/herd.sh
+++ b/bench/herd.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Measures simultaneous starts: starts all instances at once, kills them all, and
 # starts them again.  Prints the time of each from its start until it serves and
-# the calls to the store, then the cost of an instance at rest.
+# the calls to the store, then the cost of an idle instance.
 # usage: bench/herd.sh BUILD [INSTANCES UPSTREAMS [DATA-CENTRES]]
 set -u
 instances=${2:-30}
@@ -48,7 +48,7 @@
     done | awk '{s += $1; if ($1 > m) m = $1} END {print s + 0, m + 0}'
 }
 
-measure_rest() {        # SECONDS
+measure_idle() {        # SECONDS
     local calls_before=$(calls) peer_calls_before=$(metric_sum_max peer_calls_total)
     ticks >before
     sleep "$1"
@@ -74,4 +74,4 @@
 done
 measure_start "all killed"
 sleep 10
-measure_rest 10
+measure_idle 10
--- a/test/ctl_lib.bash
+++ b/test/ctl_lib.bash
@@ -27,7 +27,7 @@
     return 1
 }
 
-# Tries another port when one is in use, for instance by another test run.
+# Retries with another port when the port is in use, e.g. by another test run.
 start_platform() {
     for n in $(seq 10); do
         port=$((20000 + ($$ + n * 1009) % 12000))
@@ -42,7 +42,7 @@
     exit 1
 }
 
-switch() {              # QUERY: sets fault switches of the platform
+switch() {              # QUERY: sets the platform's fault switches
     exec 3<>"/dev/tcp/127.0.0.1/$port"
     printf 'POST /v1/switch?%s HTTP/1.0\r\nContent-Length: 0\r\n\r\n' "$1" >&3
     cat <&3 >/dev/null
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -123,7 +123,7 @@
     int service = 0;
     uint32_t epoch = 1;
     bool running = true, draining = false;
-    ms_t drain_started = MS_NEVER; /* new work is late 4 s after this */
+    ms_t drain_started = MS_NEVER; /* new work counts as late 4 s later */
     ms_t run_ms = 0, up_at = 0;
     int busy = 0, reported_busy = -1; /* -1: the real load */
     uint16_t next_mid = 1;
