--- a/bench/load.c
+++ b/bench/load.c
@@ -22,9 +22,8 @@
 #define PAYLOAD 272 /* size of a setpoint */
 #define FLOWS_MAX 4096
 #define WARMUP_MS 2000
-#define UPSTREAM_READY_MS                                                     \
-    3000 /* until the upstream's identity is verified                         \
-          */
+/* Time until the balancer has verified the upstream's identity. */
+#define UPSTREAM_READY_MS 3000
 
 typedef struct {
     addr_t service, upstream;
