--- a/bench/load.c
+++ b/bench/load.c
@@ -1,6 +1,6 @@
 /* load: sends datagrams of many flows at a fixed rate through a balancer or
- * the bare relay, echoes them as the upstream, and tells the processor time
- * that the measured process spent on each datagram it forwarded.
+ * the bare relay, echoes them as the upstream, and prints the processor time
+ * that the measured process spent per forwarded datagram.
  *
  * usage: load SERVICE UPSTREAM PID FLOWS RATE SECONDS
  */
@@ -19,10 +19,11 @@
 #include <unistd.h>
 
 #define BATCH 32
-#define PAYLOAD 272 /* a setpoint's size */
+#define PAYLOAD 272 /* size of a setpoint */
 #define FLOWS_MAX 4096
-#define WARM_MS 2000
-#define START_MS 3000 /* until the balancer trusts the upstream */
+#define WARMUP_MS 2000
+/* Time until the balancer has verified the upstream's identity. */
+#define UPSTREAM_READY_MS 3000
 
 typedef struct {
     addr_t service, upstream;
@@ -43,7 +44,7 @@
 } batch_t;
 
 static clients_t clients;
-static bool ended;
+static bool stopping;
 
 static void
 fail(const char *what)
@@ -95,13 +96,13 @@
     *len = n < 0 ? *len : SPP_LEN + (size_t)n;
 }
 
-/* The upstream: sends each datagram back, header and all. */
+/* The upstream: sends each datagram back with its proxy header. */
 static void *
 echo_main(void *arg)
 {
     const options_t *o = arg;
     batch_t *b = calloc(1, sizeof(*b));
-    struct timeval wait = {.tv_usec = 100000};
+    struct timeval timeout = {.tv_usec = 100000};
     struct sockaddr_storage ss;
     socklen_t len = addr_to_sock(&o->upstream, &ss);
     int buffer = 4 << 20;
@@ -111,8 +112,8 @@
         fail("load: upstream");
     }
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof(buffer));
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
-    while (!__atomic_load_n(&ended, __ATOMIC_RELAXED)) {
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+    while (!__atomic_load_n(&stopping, __ATOMIC_RELAXED)) {
         int n = read_batch(fd, b);
         for (int i = 0; i < n; i++) {
             size_t n_bytes = b->msgs[i].msg_len;
@@ -131,7 +132,7 @@
     return NULL;
 }
 
-/* Counts what comes back to the flows' sockets. */
+/* Counts the datagrams returned to the flows' sockets. */
 static void *
 count_main(void *arg)
 {
@@ -139,7 +140,7 @@
     uint8_t data[DATAGRAM_MAX];
 
     (void)arg;
-    while (!__atomic_load_n(&ended, __ATOMIC_RELAXED)) {
+    while (!__atomic_load_n(&stopping, __ATOMIC_RELAXED)) {
         int n = epoll_wait(clients.epoll, ev, 64, 100);
         for (int i = 0; i < n; i++) {
             while (recv(ev[i].data.fd, data, sizeof(data), MSG_DONTWAIT) > 0) {
@@ -192,7 +193,7 @@
     return user + system;
 }
 
-/* Sends at the rate, in small bursts, until UNTIL. */
+/* Sends small bursts at the requested rate until UNTIL. */
 static void
 send_until(const options_t *o, ms_t until)
 {
@@ -219,9 +220,9 @@
 {
     uint64_t sent, returned;
     long ticks;
-    double us;
+    double cpu_us;
 
-    send_until(o, clock_now() + WARM_MS);
+    send_until(o, clock_now() + WARMUP_MS);
     sent = clients.sent;
     returned = __atomic_load_n(&clients.returned, __ATOMIC_RELAXED);
     ticks = cpu_ticks(o->pid);
@@ -229,10 +230,10 @@
     ticks = cpu_ticks(o->pid) - ticks;
     sent = clients.sent - sent;
     returned = __atomic_load_n(&clients.returned, __ATOMIC_RELAXED) - returned;
-    us = (double)ticks * 1e6 / (double)sysconf(_SC_CLK_TCK);
+    cpu_us = (double)ticks * 1e6 / (double)sysconf(_SC_CLK_TCK);
     printf("sent=%llu returned=%llu cpu_us_per_datagram=%.3f\n",
            (unsigned long long)sent, (unsigned long long)returned,
-           returned > 0 ? us / (2.0 * (double)returned) : 0.0);
+           returned > 0 ? cpu_us / (2.0 * (double)returned) : 0.0);
 }
 
 int
@@ -256,11 +257,11 @@
         return 2;
     }
     pthread_create(&echo, NULL, echo_main, &o);
-    usleep(1000 * START_MS);
+    usleep(1000 * UPSTREAM_READY_MS);
     open_flows(&o);
     pthread_create(&count, NULL, count_main, NULL);
     measure(&o);
-    __atomic_store_n(&ended, true, __ATOMIC_RELAXED);
+    __atomic_store_n(&stopping, true, __ATOMIC_RELAXED);
     pthread_join(echo, NULL);
     pthread_join(count, NULL);
     return 0;
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -1,6 +1,6 @@
-/* relay: the least that a balancer of datagrams can do, as a baseline for
- * the data path: recvmmsg, the proxy header put before or taken off, sendmmsg.
- * One thread, no decisions.
+/* relay: a minimal datagram relay, the baseline for the data path.  Receives
+ * with recvmmsg, adds or strips the proxy header, and sends with sendmmsg, in
+ * one thread and without any decision.
  *
  * usage: relay SERVICE RETURN UPSTREAM, each as IP:PORT
  */
@@ -42,7 +42,7 @@
     return fd;
 }
 
-/* Reads a batch; room for a header is left before each datagram. */
+/* Reads a batch, with headroom for a proxy header before each datagram. */
 static int
 read_batch(int fd)
 {
@@ -100,12 +100,12 @@
 }
 
 static void
-relay(int from, int to, void (*change)(int i))
+relay(int from, int to, void (*rewrite)(int i))
 {
     int n = read_batch(from);
 
     for (int i = 0; i < n; i++) {
-        change(i);
+        rewrite(i);
     }
     if (n > 0) {
         send_batch(to, n);
@@ -115,16 +115,17 @@
 int
 main(int argc, char **argv)
 {
-    addr_t back;
+    addr_t return_addr;
     struct pollfd fds[2];
 
     if (argc != 4 || addr_parse(&service, argv[1]) < 0 ||
-        addr_parse(&back, argv[2]) < 0 || addr_parse(&upstream, argv[3]) < 0) {
+        addr_parse(&return_addr, argv[2]) < 0 ||
+        addr_parse(&upstream, argv[3]) < 0) {
         fprintf(stderr, "usage: relay SERVICE RETURN UPSTREAM\n");
         return 2;
     }
     fds[0] = (struct pollfd){.fd = open_udp(&service), .events = POLLIN};
-    fds[1] = (struct pollfd){.fd = open_udp(&back), .events = POLLIN};
+    fds[1] = (struct pollfd){.fd = open_udp(&return_addr), .events = POLLIN};
     if (fds[0].fd < 0 || fds[1].fd < 0) {
         return 1;
     }
