--- a/flow/choice.c
+++ b/flow/choice.c
@@ -100,7 +100,7 @@
 cost_of(const upstream_t *u, ms_t now)
 {
     double load = 1 + u->busy + u->open * FLOW_LOAD + u->unanswered;
-    double factor = now < u->warm_at ? WARM_UP_FACTOR : 1;
+    double factor = now < u->warm_up_until ? WARM_UP_FACTOR : 1;
 
     return load / u->a.slots * factor * latency_penalty(u, now);
 }
@@ -218,7 +218,7 @@
 }
 
 void
-choice_sweep(service_t *s, ms_t now)
+choice_update_median(service_t *s, ms_t now)
 {
     double ms[MEDIAN_MAX];
     size_t n = collect_latencies(&s->local, now, ms, 0);
@@ -252,7 +252,7 @@
 /* Returns true if an upstream of S is in slow start and has reached this
  * instance's share of new flows. */
 static bool
-has_warm_up(const flowset_t *f, const service_t *s, ms_t now)
+any_warm_up_refused(const flowset_t *f, const service_t *s, ms_t now)
 {
     const group_t *groups[] = {&s->local, &s->remote};
 
@@ -276,7 +276,8 @@
 
     if (u == NULL) {
         return (choice_t){.evacuated = s != NULL && s->n_evacuated > 0,
-                          .warm_up = s != NULL && has_warm_up(f, s, now)};
+                          .warm_up =
+                              s != NULL && any_warm_up_refused(f, s, now)};
     }
     if (admit == ADMIT_ALL || r->goal_ms == 0) {
         return (choice_t){.up = u};
--- a/flow/decide.c
+++ b/flow/decide.c
@@ -188,10 +188,10 @@
         d->begins_request = p->len > 0;
     }
     else {
-        bool asked = r->request_at != 0;
+        bool had_request = r->request_at != 0;
         track_flow(f, now, p, r);
         touch(f, now, r);
-        d->begins_request = !asked && r->request_at != 0;
+        d->begins_request = !had_request && r->request_at != 0;
     }
     if (r != NULL && p->ends) {
         record_ended(r); /* kept, so that the flow's last packets don't create
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -177,7 +177,7 @@
         discard_records(f, u);
     }
     u->a = *a;
-    u->warm_at = now + a->warm_up_ms;
+    u->warm_up_until = now + a->warm_up_ms;
     if (superseded) {
         retire_upstream(f, now, u);
         return 0;
@@ -379,7 +379,7 @@
         records_expire(f, now);
         expire_upstreams(f, now);
         LIST_EACH (it, &f->services) {
-            choice_sweep(CONTAINER_OF(it, service_t, link), now);
+            choice_update_median(CONTAINER_OF(it, service_t, link), now);
         }
         f->sweep_at = now + SWEEP_MS;
     }
--- a/flow/state.h
+++ b/flow/state.h
@@ -91,8 +91,8 @@
     bool evacuated; /* its data centre is evacuated: no new flows */
     bool tag_taken; /* an older upstream has the same tag: no new flows */
     ms_t unlisted_at;
-    ms_t warm_at;        /* end of slow start */
-    ms_t warm_next;      /* earliest time of the next new flow from this
+    ms_t warm_up_until;  /* end of slow start */
+    ms_t warm_up_next;   /* earliest time of the next new flow from this
                           * instance */
     uint32_t open;       /* open flows */
     uint32_t busy;       /* unanswered requests and flows being opened */
@@ -252,7 +252,7 @@
                 const upstream_t *exclude, admit_t admit);
 
 /* Updates the service's median response time. */
-void choice_sweep(service_t *s, ms_t now);
+void choice_update_median(service_t *s, ms_t now);
 
 /* ---- warmup.c: new flows at upstreams in slow start ---- */
 
--- a/flow/warmup.c
+++ b/flow/warmup.c
@@ -75,18 +75,18 @@
 {
     ms_t spacing;
 
-    if (now >= u->warm_at) {
+    if (now >= u->warm_up_until) {
         return true;
     }
     spacing = spacing_of(f, u);
-    return spacing == 0 || (spacing != MS_NEVER && now >= u->warm_next);
+    return spacing == 0 || (spacing != MS_NEVER && now >= u->warm_up_next);
 }
 
 void
 warm_up_opened(const flowset_t *f, ms_t now, upstream_t *u)
 {
-    if (now < u->warm_at) {
+    if (now < u->warm_up_until) {
         ms_t spacing = spacing_of(f, u);
-        u->warm_next = spacing == MS_NEVER ? now : now + spacing;
+        u->warm_up_next = spacing == MS_NEVER ? now : now + spacing;
     }
 }
