--- a/core/core.c
+++ b/core/core.c
@@ -166,7 +166,7 @@
     if (u != UP_NONE && c->ups[u].service != service) {
         /* The address belongs to another service now: its recorded state is
          * obsolete, and its flows have ended there. */
-        feeds_lost(c, u);
+        flows_end_at(c, u);
         c->ups[u].used = false;
         u = UP_NONE;
     }
--- a/core/flows.c
+++ b/core/flows.c
@@ -286,7 +286,7 @@
 }
 
 void
-feeds_lost(core_t *c, up_ix_t up)
+flows_end_at(core_t *c, up_ix_t up)
 {
     end_flows_of(c, up, FLOW_REPLICA);
 }
--- a/core/input.c
+++ b/core/input.c
@@ -336,7 +336,7 @@
         request_cancel_reply(c, u, m);
     }
     else if (up_from_probe(c, u, m)) {
-        feeds_lost(c, u);
+        flows_end_at(c, u);
     }
 }
 
--- a/core/request.c
+++ b/core/request.c
@@ -352,11 +352,11 @@
 static void
 refuse_reused_mid(core_t *c, const dgram_t *d, const ex_t *ex)
 {
-    bool exclusive = ex->idempotent || exclusive_for(c, ex);
+    bool not_run = ex->idempotent || exclusive_for(c, ex);
 
-    answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-               exclusive ? retry_after_s(c, service_of(c, ex)) : COAP_NONE,
-               exclusive ? REFUSE_MID_REUSE : REFUSE_OUTCOME_UNKNOWN);
+    answer_now(c, d, not_run ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+               not_run ? retry_after_s(c, service_of(c, ex)) : COAP_NONE,
+               not_run ? REFUSE_MID_REUSE : REFUSE_OUTCOME_UNKNOWN);
 }
 
 static void
@@ -410,9 +410,9 @@
  * from this owner or from one that failed, must not be reported as "not
  * run": the caller is asked to start again. */
 static void
-upload_refuse(core_t *c, const dgram_t *d, refuse_t why, bool taken)
+upload_refuse(core_t *c, const dgram_t *d, refuse_t why, bool maybe_accepted)
 {
-    if (taken) {
+    if (maybe_accepted) {
         answer_now(c, d, COAP_INCOMPLETE, COAP_NONE, REFUSE_UPLOAD);
         return;
     }
@@ -523,11 +523,11 @@
     same_token = ex_find_token(c, d->key, d->m);
     ex = ex_add(c, d);
     if (ex == NULL) {
-        bool exclusive = owner_exclusive(c, request_owner_key(s, d->key)) ||
-                         d->m->code == COAP_GET;
-        answer_now(c, d, exclusive ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
-                   exclusive ? retry_after_s(c, s) : COAP_NONE,
-                   exclusive ? REFUSE_TABLE_FULL : REFUSE_OUTCOME_UNKNOWN);
+        bool not_run = owner_exclusive(c, request_owner_key(s, d->key)) ||
+                       d->m->code == COAP_GET;
+        answer_now(c, d, not_run ? COAP_UNAVAILABLE : COAP_GW_TIMEOUT,
+                   not_run ? retry_after_s(c, s) : COAP_NONE,
+                   not_run ? REFUSE_TABLE_FULL : REFUSE_OUTCOME_UNKNOWN);
         return;
     }
     if (same_token != NULL && same_token->state != EX_REFUSED &&
--- a/core/state.h
+++ b/core/state.h
@@ -390,7 +390,7 @@
 void upload_answered(core_t *c, flow_t *f, const coap_msg_t *m);
 void flow_set_feed(core_t *c, flow_t *f, const dgram_t *d);
 void flow_sweep(core_t *c);
-void feeds_lost(core_t *c, up_ix_t up);
+void flows_end_at(core_t *c, up_ix_t up);
 /* Ends the flows of lost upstreams and notifies the callers of their feeds. */
 void flows_tick(core_t *c);
 const hint_t *hint_find(core_t *c, uint64_t key);
