--- a/source/source.c
+++ b/source/source.c
@@ -29,7 +29,7 @@
 /* Limit of consecutive redirects: leaders may briefly follow each other during
  * a change.  With 32 follower places, a tree of three levels holds 32,768
  * instances. */
-#define HOPS_MAX 8
+#define REDIRECTS_MAX 8
 
 /* Leaders that follow the store.  Two, so that leaders that check with the one
  * detect that the other is cut off or refused by the store. */
@@ -300,7 +300,8 @@
 int
 sources_redirected(sources_t *s, const addr_t *to)
 {
-    s->follows_relay = ++s->redirects <= HOPS_MAX && !addr_eq(to, &s->self);
+    s->follows_relay =
+        ++s->redirects <= REDIRECTS_MAX && !addr_eq(to, &s->self);
     if (!s->follows_relay) {
         s->redirects = 0;
         return -ELOOP;
