--- a/flow/choice.c
+++ b/flow/choice.c
@@ -151,7 +151,9 @@
 
 /* Prefers the instance's own data centre: flows between data centres are lost
  * when the data centres are partitioned.  A remote upstream is selected only
- * if it is clearly better for the caller. */
+ * if the local one is missing, suspect, unlisted or at SPILL_LOAD_MIN, and the
+ * remote one is of a better tier, or of the same and less loaded by
+ * SPILL_LOAD_DIFF. */
 static upstream_t *
 choose_in_service(flowset_t *f, ms_t now, const service_t *s,
                   const upstream_t *exclude)
@@ -177,7 +179,7 @@
 }
 
 /* Returns U if its group's limit admits the request, or else an upstream of
- * the other group whose limit does. */
+ * the other group if that limit does, or else none. */
 static choice_t
 within_limits(flowset_t *f, ms_t now, service_t *s, upstream_t *u,
               uint32_t priority)
--- a/flow/decide.c
+++ b/flow/decide.c
@@ -76,7 +76,9 @@
     double ms = (double)(now - r->request_at);
 
     hist_add(&f->stats.answer_ms, (uint64_t)ms);
-    if (r->idempotent) { /* the duration of an upload depends on the caller */
+    if (r->idempotent) {
+        /* Other requests may be uploads, whose duration depends on the caller.
+         * 1 ms is added since 0 stands for no sample. */
         update_average(&r->up->answer_ms, LATENCY_WEIGHT, ms + 1);
         r->up->answered_at = now;
         if (r->goal_ms > 0 && limit_on_response(&r->up->group->limit, now,
@@ -109,8 +111,8 @@
         r->ack = p->ack;
         reach_alive(f, now - p->age_ms, u);
         if (r->request_at != 0 && new_data) {
-            /* The response time is unknown: the caller paused before this
-             * request. */
+            /* The response time is unknown: the caller acknowledged the
+             * response only with this request, after a pause. */
             record_request_end(r);
         }
         else if (r->request_at != 0) {
@@ -138,8 +140,8 @@
 }
 
 /* Returns true if a flow may be reset although its upstream can't be notified:
- * only if the upstream is unreachable, the caller may repeat its request, and
- * the packet carries request data. */
+ * only if the upstream is unreachable, the route's requests are idempotent,
+ * and the packet carries request data. */
 static bool
 may_reset_unreachable(const flowset_t *f, const flow_packet_t *p,
                       const upstream_t *u)
@@ -201,7 +203,8 @@
 
 /* Returns true if another opening packet of the same caller may have opened
  * the flow, through another instance or before an upstream died.  The caller
- * must then not be reset. */
+ * must then not be reset.  A packet that was read late counts too: the caller
+ * may have sent a copy in the meantime. */
 static bool
 maybe_opened_elsewhere(const flow_packet_t *p)
 {
--- a/flow/flow.h
+++ b/flow/flow.h
@@ -115,8 +115,8 @@
                          * are evacuated */
     FLOW_OVERLOAD,      /* reset: the request would miss its goal */
     FLOW_UPSTREAM_DEAD, /* reset: the upstream has ended */
-    FLOW_UPSTREAM_UNREACHABLE, /* reset: the upstream is unreachable, and its
-                                * requests may be repeated */
+    FLOW_UPSTREAM_UNREACHABLE, /* reset: the upstream is unreachable, and the
+                                * route's requests are idempotent */
     FLOW_TAG_UNKNOWN,          /* dropped: no upstream here has that tag */
     FLOW_TAG_NONE, /* dropped: not an opening packet, and without a tag */
     FLOW_REASONS
@@ -153,7 +153,8 @@
     REACH_GOOD,
     REACH_SUSPECT, /* callers' packets are unanswered; a probe is under way */
     REACH_UNREACHABLE, /* probes timed out */
-    REACH_DEAD         /* its host refused a probe: the process has ended */
+    REACH_DEAD /* the process has ended: its host refused a probe, or its
+                * address has passed to another upstream */
 } flow_reach_t;
 
 const char *flow_reach_name(flow_reach_t r);
--- a/flow/flows.c
+++ b/flow/flows.c
@@ -38,8 +38,9 @@
     return f;
 }
 
-/* Discards the records of U, which has restarted under its id: it holds none
- * of these flows, and resets them itself when their callers retransmit. */
+/* Discards the records of U, which is dropped, or has restarted under its id.
+ * A restarted upstream holds none of these flows, and resets them itself when
+ * their callers retransmit. */
 static void
 discard_records(flowset_t *f, upstream_t *u)
 {
--- a/flow/limit.c
+++ b/flow/limit.c
@@ -13,7 +13,7 @@
  * requests in flight at which it would have met the target, and the limit
  * follows a low quantile of these numbers.  A limit that shrinks with each
  * late response would be lowered further by responses from a queue that has
- * already drained; this one isn't. */
+ * already drained; this limit isn't. */
 #include "flow/state.h"
 
 /* Target of the tail latency, as a share of the goal. */
@@ -51,8 +51,8 @@
 #define RELEASE_MS 500
 /* Tail latency assumed at the end of a limit, as a share of the target. */
 #define RELEASED_SHARE 0.5
-/* Extra share of the limit for requests whose priority is a step or more above
- * the average. */
+/* Share by which the limit is raised for requests whose priority is a step or
+ * more above the average, and lowered for those as far below. */
 #define PRIORITY_HEADROOM 0.5
 /* Smoothing factor of the average priority (EWMA). */
 #define PRIORITY_WEIGHT 0.02
@@ -136,8 +136,8 @@
     return queued > TARGET ? queued : TARGET;
 }
 
-/* Adapts the limit to a response for which MAX_IN_FLIGHT would have been
- * right. */
+/* Adapts the limit to a response that would have met the target with
+ * MAX_IN_FLIGHT requests in flight. */
 static void
 adapt(limit_t *l, double target, double max_in_flight)
 {
--- a/flow/reach.c
+++ b/flow/reach.c
@@ -32,11 +32,11 @@
 #define PROBE_LOSS_MAX 0.05
 /* Smoothing factor of the loss estimate (EWMA). */
 #define PROBE_LOSS_WEIGHT 0.05
-/* Refused probes in a row that prove the end of a draining upstream, once its
- * announcement is gone: it may close its port many seconds before its last
- * flows end, and no instance sees a response to an upload until the upload
- * ends.  A crash ends port and flows at once, so that one refusal proves it.
- */
+/* Refused probes in a row, with no sign of life between the last two, that
+ * prove the end of a draining upstream once its announcement is gone.  It may
+ * close its port many seconds before its last flows end, and no instance sees
+ * a response to an upload until the upload ends.  A crash ends port and flows
+ * at once, so that one refusal proves it. */
 #define REFUSED_DRAINING 2
 /* Grace period after an answered probe: packets retransmitted during it were
  * first sent before the probe. */
@@ -131,7 +131,7 @@
 
 /* An announced upstream that was dead or unreachable may have restarted, or
  * the announcement may date from before its end.  A probe decides at once;
- * until then it gets no new flows. */
+ * until then the upstream gets no new flows. */
 void
 reach_announced(flowset_t *f, ms_t now, upstream_t *u)
 {
--- a/flow/state.h
+++ b/flow/state.h
@@ -286,7 +286,7 @@
  * Returns the time of the next timeout. */
 ms_t timeouts_check(flowset_t *f, ms_t now);
 /* Requests whose response can no longer be seen here stop counting as in
- * flight. */
+ * flight.  Frees the records of flows that never opened or have ended. */
 void timeouts_sweep(flowset_t *f, ms_t now);
 
 #endif
--- a/flow/timeouts.c
+++ b/flow/timeouts.c
@@ -3,8 +3,9 @@
 
 /* Timeout of an opening packet, until the caller's next packet. */
 #define OPENING_TIMEOUT_MS 80
-/* Age at which an unanswered request no longer counts as in flight: the caller
- * gave up, or the flow continues through another instance. */
+/* Time since a flow's last packet after which its unanswered request no longer
+ * counts as in flight: the caller gave up, or the flow continues through
+ * another instance. */
 #define REQUEST_MAX_AGE_MS 3000
 /* An unanswered idempotent request makes its upstream suspect after this
  * multiple of the service's median response time, within these bounds: well
@@ -58,7 +59,8 @@
         if (r->goal_ms > 0) {
             list_append(&f->slow, it);
         }
-        if (r->idempotent) { /* an upload is answered only when it ends */
+        if (r->idempotent) {
+            /* Other requests may be uploads, answered only when they end. */
             reach_suspect(f, now, r->up, r->request_at,
                           "a request is not answered");
         }
@@ -69,8 +71,9 @@
 /* Stops counting overdue requests as in flight.  A response may go unseen: one
  * of a single packet is acknowledged with the caller's next request, or never.
  * Overloaded servers refuse many requests that way; counted as in flight,
- * these would block new requests while slots are free.  Goals differ: a
- * request behind one with a longer goal is found slightly late. */
+ * these would block new requests while slots are free.  The list is in
+ * order of timeout, not of goals: a request behind one with a longer goal is
+ * found slightly late. */
 static void
 check_overdue(flowset_t *f, ms_t now)
 {
--- a/flow/warmup.c
+++ b/flow/warmup.c
@@ -1,17 +1,18 @@
-/* Limits new flows at upstreams in slow start.
+/* Limits new flows at upstreams in slow start (warm-up).
  *
  * When an upstream has just started, or its data centre's evacuation ends,
  * hundreds of instances find it idle at once.  Its slow-start rate applies to
- * all of them together, but no instance knows how many others there are or
- * what they send.  Only a few instances, those announced in the data centre
+ * all of them together, but instances have no count of each other or of each
+ * other's flows.  Only a few instances, those announced in the data centre
  * and known to all instances there, open flows at the upstream, each an equal
  * share; the others use warm upstreams.  The sum stays within the bound also
  * when instances are partitioned, because a share is never taken over by
  * another instance. */
 #include "flow/state.h"
 
-/* Period of a share: opening packets sent within a second may arrive within
- * less. */
+/* Period in which this instance opens its share of a second's new flows.  The
+ * excess over 1000 ms is a margin for delay variation: opening packets sent
+ * within a second may arrive within less. */
 #define WINDOW_MS 1100
 /* Share of the bound that is used.  An announcement reaches instances one
  * after the other: for a moment their lists differ, and the shares may add up
