--- a/core/core.h
+++ b/core/core.h
@@ -118,9 +118,9 @@
  * the previous version stays in force. */
 int core_set_conf(core_t *c, ms_t now, const conf_t *conf);
 /* Declares that no instance had a version before the first one applied
- * here.  Call before the first core_set_conf().  Known from a peer for which
- * this was declared, or when the instance got the site's first version from
- * the platform and saw no member that had started earlier. */
+ * here.  Call before the first core_set_conf().  This holds when a peer for
+ * which it was declared says so, or when the instance got the site's first
+ * version from the platform and saw no member that had started earlier. */
 void core_set_history_complete(core_t *c);
 /* True when a member was seen that had started before this instance. */
 bool core_saw_older_member(const core_t *c);
@@ -143,8 +143,10 @@
 /* Handles a message from another instance whose tag has been verified. */
 void core_from_peer(core_t *c, ms_t now, const peer_msg_t *m);
 /* Call at least every 50 ms: sends probes, checks timeouts, replicates pins
- * to backups at a limited rate.  A gap of more than IDENTITY_LEASE_MS since
- * the last call (a pause) ends all identity leases. */
+ * to backups at a limited rate.  A gap between calls that handle input or
+ * time is a pause of the process: one of more than PAUSE_MS (input.c, 400 ms)
+ * makes ownership uncertain, one of more than IDENTITY_LEASE_MS also ends all
+ * identity leases. */
 void core_tick(core_t *c, ms_t now);
 
 /* This instance is leaving: hands over the pins that only it holds and decides
--- a/core/exchanges.c
+++ b/core/exchanges.c
@@ -152,7 +152,8 @@
 
     ex->state = state;
     if (stays) {
-        return; /* moved to the end, request_tick() would visit it again */
+        return; /* a record moved to the end of the list would be visited
+                 * again by request_tick() */
     }
     list_remove(&ex->link);
     list_append(is_active(state) ? &c->ex_active : &c->ex_kept, &ex->link);
@@ -259,9 +260,9 @@
 
 /* ---- Time ---- */
 
-/* A record is kept until its message ID may be reused.  When the table
- * fills up, it is kept only as long as copies of the request may arrive,
- * the minimum for at-most-once execution. */
+/* A record is kept until its message ID may be reused.  When the table is
+ * more than three quarters full, it is kept only as long as copies of the
+ * request may arrive, the minimum for at-most-once execution. */
 static ms_t
 retention_ms(const core_t *c)
 {
@@ -269,8 +270,9 @@
                                                    : EXCHANGE_LIFETIME_MS;
 }
 
-/* ex_kept is in the order in which the records were put there, so expired
- * ones come first. */
+/* ex_kept is in the order in which the records were put there, nearly that of
+ * their expiry: a record behind one that was sent later is kept longer than
+ * necessary. */
 void
 ex_expire(core_t *c)
 {
--- a/core/input.c
+++ b/core/input.c
@@ -8,10 +8,10 @@
 
 /* ---- Datagrams from callers ---- */
 
-/* Forwards D to its owner, or returns false when D is to be handled here.
- * KEY is the owner key of the flow or, for requests, of the service.
- * KNOWN: a record here already decides.  PINNED: the previous owner may
- * have a pin for it. */
+/* Forwards D to its owner or the previous one, or drops D when no owner is
+ * known.  Returns false when D is to be handled here.  KEY is the owner key of
+ * the flow or, for requests, of the service.  KNOWN: a record here already
+ * decides.  PINNED: the previous owner may have a pin for it. */
 static bool
 forward_to_owner(core_t *c, const dgram_t *d, uint64_t key, bool known,
                  bool pinned)
@@ -91,8 +91,8 @@
     }
 }
 
-/* An ACK or RST.  The upstream is known to the owner of the flow for a
- * feed, and to the owner of the requests for a separate response to a
+/* Handles an ACK, RST or ping.  The upstream is known to the owner of the flow
+ * for a feed, and to the owner of the requests for a separate response to a
  * request. */
 static void
 empty_in(core_t *c, const dgram_t *d, bool local)
@@ -128,7 +128,7 @@
         return;
     }
     if (!coap_is_request(d->m)) {
-        s->stats.malformed++; /* upstreams send callers no requests */
+        s->stats.malformed++; /* a response: upstreams send no requests */
         return;
     }
     if (class_of(d->m) == CLASS_FEED) {
--- a/core/owners.c
+++ b/core/owners.c
@@ -133,7 +133,7 @@
     return NULL;
 }
 
-/* True when ID can still be asked for its pins. */
+/* True when datagrams can still be forwarded to ID, which may have pins. */
 static bool
 peer_reachable(const core_t *c, uint64_t id)
 {
@@ -183,8 +183,8 @@
 }
 
 /* True when self refuted a suspicion, or a member restarted without
- * leaving: other members took another instance for the owner, or records
- * are lost. */
+ * leaving: other members had assigned its slots to another instance, or
+ * records are lost. */
 static bool
 was_uncertain(const core_t *c, const member_t *m)
 {
--- a/core/request.c
+++ b/core/request.c
@@ -15,7 +15,7 @@
 #include <string.h>
 
 #define RETRIES_MAX 2       /* at other upstreams, of one request */
-#define RETRY_BUDGET_MIN 10 /* retries allowed whatever the budget */
+#define RETRY_BUDGET_MIN 10 /* retries allowed beyond the percentage */
 #define PERCENT 100
 #define BLOCK_MORE 8             /* RFC 7959 2.2 */
 #define FIRST_PROBE_WAIT_MS 1000 /* limit, for the reply of a new upstream */
@@ -41,8 +41,8 @@
 
 /* ---- Fencing ---- */
 
-/* True when U can be asked about a copy and would remember it.  False for
- * an upstream that has restarted since it may first have got work.  A restart
+/* True when U has a valid lease and would remember a copy.  False for an
+ * upstream that has restarted since it may first have got work.  A restart
  * takes at least IDENTITY_LEASE_MS, so an epoch that began sooner than that
  * after the first listing is the first one. */
 static bool
@@ -73,8 +73,8 @@
 static void end_unknown(core_t *c, ex_t *ex);
 
 /* Has EX cancelled at every upstream that may hold a copy, except its
- * target.  The outcome is unknown when one of these can't be asked, or when
- * the target has restarted and so lost its record of duplicates. */
+ * target.  The outcome is unknown when one of these or the target has no
+ * valid lease, or has restarted and so lost its record of requests. */
 static void
 fence(core_t *c, ex_t *ex)
 {
@@ -226,7 +226,7 @@
 }
 
 /* A non-idempotent request goes only to a candidate of its bucket: an owner
- * without the record can ask no others. */
+ * without the record has it cancelled only there. */
 static up_ix_t
 choose(core_t *c, const ex_t *ex)
 {
@@ -313,7 +313,7 @@
         end_unknown(c, ex);
         return;
     }
-    if (strcmp(state, "barred") != 0) {
+    if (strcmp(state, "barred") != 0) { /* "barred": cancelled */
         attach_to_copy(c, ex, u);
         return;
     }
--- a/core/state.h
+++ b/core/state.h
@@ -54,7 +54,8 @@
 
 typedef struct {
     uint64_t owner;  /* first ACTIVE member by rank; 0: none */
-    uint64_t backup; /* next ACTIVE, or a JOINING one that will be the owner */
+    uint64_t backup; /* where self is the owner, the next ACTIVE; elsewhere the
+                      * owner; with BACKUP_JOINS, the JOINING one */
     uint64_t previous; /* the owner before this one; 0: none, or unreachable */
     ms_t owner_since;  /* when OWNER was set, by this instance's clock */
     bool backup_joins; /* BACKUP is JOINING and will take over */
@@ -101,9 +102,10 @@
 typedef struct {
     bool used;         /* false: its address was moved to another service */
     bool listed;       /* in the configuration in force */
-    ms_t listed_since; /* first anywhere; INT64_MIN / 2: unknown */
+    ms_t listed_since; /* earliest time at which any instance listed it;
+                        * INT64_MIN / 2: unknown */
     ms_t unlisted_at;
-    ms_t hinted_until;  /* lease end of the last hint here to it */
+    ms_t hinted_until;  /* lease end of the last hint received for it */
     bool draining;      /* by its own report */
     bool conf_draining; /* by configuration */
     service_ix_t service;
@@ -126,7 +128,7 @@
     uint32_t same_reports;       /* consecutive reports with the same value */
     uint32_t finished_since_change; /* requests, since REPORTED changed */
     ms_t eject_until;
-    uint32_t sheds; /* consecutive */
+    uint32_t sheds; /* consecutive requests refused as "not run" */
 } up_t;
 
 /* ---- flows.c ---- */
@@ -209,7 +211,7 @@
     up_ix_t fence[FENCE_MAX]; /* upstreams whose cancel reply is outstanding */
     bool refuse_when_fenced;  /* once cancelled everywhere, answer "not run" */
     bool found;               /* an earlier copy was found at its upstream */
-    bool awaiting_probe;    /* for the first probe reply of a new candidate */
+    bool awaiting_probe;    /* waits for a new candidate's first probe reply */
     refuse_t refuse_reason; /* reason of that refusal */
     uint8_t final_code;     /* code of the final answer, EX_REFUSED */
     uint32_t retry_after_s; /* Max-Age of the final answer */
@@ -229,9 +231,9 @@
     bucket_t *buckets;
     up_ix_t *ups; /* indices of its listed upstreams */
     uint32_t n_ups;
-    bool may_own; /* this instance may own some of its keys */
-    uint32_t groups;
-    ms_t groups_since;
+    bool may_own;      /* this instance may own some of its keys */
+    uint32_t groups;   /* of its requests; each group has one owner */
+    ms_t groups_since; /* last change of their number */
     uint64_t forwarded, retried; /* for the retry budget */
     uint16_t share[SHARE_SLOTS]; /* requests in progress by hash of the
                                     caller's IP */
@@ -246,8 +248,8 @@
     rng_t rng;
     uint64_t version, lowest_version;
     bool leaving;
-    bool first_version;    /* the version in force is the first one here */
-    bool history_complete; /* none anywhere before the first one here */
+    bool first_version;    /* the version in force is the first applied here */
+    bool history_complete; /* no instance had a version before that one */
     bool met_older;        /* saw a member that started before this instance */
     bool handover;     /* a member joins: pins are handed over as planned */
     bool suspects;     /* some member is SUSPECT */
@@ -356,8 +358,10 @@
 /* True when U may get new work: lease valid, listed, not draining, not
  * ejected, and answering probes. */
 bool up_eligible(const core_t *c, up_ix_t u);
-/* Load of U with one more request, in thousandths of its slots by weight. */
+/* Load of U with one more request: requests per slot and unit of weight, in
+ * thousandths.  During slow start, only a part of the slots counts. */
 uint32_t up_load(const core_t *c, up_ix_t u);
+/* True when U has room for work of class CLS. */
 bool up_room(const core_t *c, up_ix_t u, class_t cls);
 /* The eligible upstream with the highest rank for KEY, other than NOT_. */
 up_ix_t up_next(core_t *c, service_t *s, uint64_t key, up_ix_t not_);
@@ -368,6 +372,7 @@
 /* Handles the answer to a probe.  Returns true when the upstream has
  * restarted. */
 bool up_from_probe(core_t *c, up_ix_t u, const coap_msg_t *m);
+/* Counts a request that U refused as "not run"; may eject U. */
 void up_shed(core_t *c, up_ix_t u);
 void up_cancel(core_t *c, const ex_t *ex, up_ix_t u);
 
@@ -390,8 +395,11 @@
 void upload_answered(core_t *c, flow_t *f, const coap_msg_t *m);
 void flow_set_feed(core_t *c, flow_t *f, const dgram_t *d);
 void flow_sweep(core_t *c);
+/* Ends all flows of this owner at UP, and notifies the callers of their feeds.
+ */
 void flows_end_at(core_t *c, up_ix_t up);
-/* Ends the flows of lost upstreams and notifies the callers of their feeds. */
+/* Ends the flows of lost upstreams, except uploads, and notifies the callers
+ * of their feeds. */
 void flows_tick(core_t *c);
 const hint_t *hint_find(core_t *c, uint64_t key);
 void hint_put(core_t *c, uint64_t key, uint64_t upstream, ms_t lease);
--- a/core/table.c
+++ b/core/table.c
@@ -27,10 +27,10 @@
     return &s->buckets[key & (s->n_buckets - 1)];
 }
 
-/* The requests of a service have one owner, which so has all that is in
- * progress at its upstreams.  A service with more than GROUP_UPSTREAMS
- * upstreams has an owner for each such number of them; each then has a
- * share of the requests. */
+/* The requests of a service have one owner, which therefore sees all requests
+ * in progress at its upstreams.  A service with more than GROUP_UPSTREAMS
+ * upstreams has one owner per GROUP_UPSTREAMS of them, each with a share of
+ * the requests. */
 uint64_t
 request_owner_key(const service_t *s, uint64_t flow)
 {
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -242,7 +242,7 @@
 
 /* An instance probes only upstreams that it may select or send to: probing
  * all 120,000 would take all of its time.  A recently removed upstream is
- * still probed, since it may have to be asked about copies of requests. */
+ * still probed, since copies of requests may have to be cancelled there. */
 static bool
 probe_needed(const core_t *c, const up_t *up)
 {
