--- a/member/member.h
+++ b/member/member.h
@@ -8,9 +8,9 @@
  *
  * States of a member: JOINING (known, owns no flows yet), ACTIVE, LEAVING
  * (accepts no new work, still forwards), SUSPECT (no answer; owns no flows any
- * more), GONE (left cleanly, or confirmed by the platform's list or a long
- * silence).  A member has an incarnation, which identifies one run of the
- * instance, and a revision within the incarnation; only the member itself
+ * more), GONE (left cleanly, or SUSPECT and missing from the platform's list
+ * for a long time).  A member has an incarnation, which identifies one run of
+ * the instance, and a revision within the incarnation; only the member itself
  * raises them.  A suspected member refutes the suspicion with a higher
  * revision.  A restarted instance has a higher incarnation than before.
  */
@@ -139,9 +139,10 @@
  * self knows as many alive members as the peer that sent the last message. */
 bool members_acked(const members_t *m);
 /* The last time at which a member was SUSPECT or returned from SUSPECT, or at
- * which a member disappeared without leaving; INT64_MIN: never.  While this is
- * recent, ownership is uncertain: two instances may both believe that they own
- * a flow. */
+ * which a member disappeared or restarted without leaving, or at which self
+ * refuted a suspicion or was paused for suspect_timeout_ms; INT64_MIN: never.
+ * While this is recent, ownership is uncertain: two instances may both believe
+ * that they own a flow. */
 ms_t members_uncertain_at(const members_t *m, ms_t now);
 /* The lowest version in force among the members that are not GONE.  A JOINING
  * member without a version makes no decisions and is left out.  A member from
--- a/member/members.c
+++ b/member/members.c
@@ -198,8 +198,9 @@
     ping(m, now, p);
 }
 
-/* After a change of self's state, pings members that haven't acknowledged it,
- * outside the ping order. */
+/* After a change of self's state, and as long as self is JOINING, pings
+ * members that haven't acknowledged the state, in addition to the periodic
+ * pings. */
 static void
 spread_self(members_t *m, ms_t now)
 {
@@ -218,9 +219,9 @@
     }
 }
 
-/* Repeats the ping and sends ping-reqs to other members, every ACK_MS until
- * the suspicion: a member must not lose ownership of its flows for one lost
- * datagram. */
+/* Repeats the ping and sends ping-reqs to other members, every
+ * ping_timeout_ms until the suspicion: a member must not lose ownership of its
+ * flows for one lost datagram. */
 static void
 retry_probe(members_t *m, ms_t now, probe_t *probe)
 {
@@ -562,8 +563,9 @@
     view_add(m, now, &r);
 }
 
-/* Two readings of the list without a suspect, GONE_MS apart, confirm that it
- * is gone.  While the list can't be read, no suspect is confirmed. */
+/* Two readings of the list without a suspect, gone_timeout_ms apart, confirm
+ * that it is gone, if it has been SUSPECT for as long.  While the list can't
+ * be read, no suspect is confirmed. */
 static void
 confirm_gone(members_t *m, ms_t now, peer_t *p)
 {
--- a/member/view.c
+++ b/member/view.c
@@ -10,7 +10,7 @@
 #define FULL_RECORD_MS 10000
 #define GOSSIP_BACKLOG 60 /* above this, messages are filled up */
 
-/* Period of the extra pings to members that haven't acknowledged self's new
+/* Duration of the extra pings to members that haven't acknowledged self's new
  * state. */
 #define SPREAD_MS 3000
 
@@ -129,8 +129,9 @@
 }
 
 /* Handles other members' records of self.  Refutes a suspicion with a higher
- * revision.  Supersedes a record of an earlier incarnation that is higher than
- * the present one (the wall clock may have gone back between the two). */
+ * revision.  Any other record with precedence over the present one is from an
+ * earlier run (the wall clock may have gone back between the two): self takes
+ * the next higher incarnation. */
 static void
 apply_self_record(members_t *m, ms_t now, const member_t *reported)
 {
@@ -239,8 +240,8 @@
     return p;
 }
 
-/* Limit of transmissions of a change: twice the depth of the epidemic, after
- * which the change has reached all but one in millions. */
+/* Limit of transmissions of a change: twice the binary logarithm of the number
+ * of members, after which the change has reached all but one in millions. */
 static int
 gossip_limit(const members_t *m)
 {
