--- a/source/source.h
+++ b/source/source.h
@@ -15,9 +15,9 @@
  * An instance of a data centre without announced instances does the same.
  *
  * A leader may be cut off, paused or refused by the store without detecting
- * it. So each announced instance periodically asks another data centre's
+ * it.  So each announced instance periodically asks another data centre's
  * leader for anything newer (a check), and the other instances ask an
- * announced neighbour. Thus the traffic between data centres, and the checks
+ * announced neighbour.  Thus the traffic between data centres, and the checks
  * that a leader receives from outside, don't grow with the number of
  * instances.  When all leaders have lost the store, every replica becomes
  * stale: each instance skips the peers that report stale data, and in the end
@@ -107,7 +107,7 @@
 /* The delay before a starting instance reads a long list from the store, in
  * which a peer may deliver it: when all instances start together, the store's
  * link would carry the list to each of them.  0 for seeds and announced
- * instances, from which the others request the list. */
+ * instances, from which the others request the list, and without peers. */
 ms_t sources_resync_delay_ms(sources_t *s);
 /* True while this instance isn't announced and too few instances of its data
  * centre are. */
