--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -32,7 +32,7 @@
 }
 
 static bool
-should_register(announce_t *a)
+should_announce(announce_t *a)
 {
     bool yes;
 
@@ -54,7 +54,7 @@
 }
 
 static int
-register_instance(announce_t *a, err_t *e)
+announce_instance(announce_t *a, err_t *e)
 {
     char key[128];
 
@@ -73,8 +73,8 @@
     if (a->lease != 0) {
         rc = renew(a, &e);
     }
-    else if (should_register(a)) {
-        rc = register_instance(a, &e);
+    else if (should_announce(a)) {
+        rc = announce_instance(a, &e);
     }
     if (rc < 0) {
         log_line(LVL_WARN, "announce",
--- a/tagged/answers.c
+++ b/tagged/answers.c
@@ -101,14 +101,14 @@
 
 /* Writes the requested part of each topic as text.  NULL without memory. */
 static char *
-write_topics(replica_t *const r[TOPICS], ms_t now, ms_t given_ms,
+write_topics(replica_t *const r[TOPICS], ms_t now, ms_t lifetime_ms,
              const answer_query_t asked[TOPICS])
 {
     char *text[TOPICS], *out = NULL;
     bool all = true;
 
     for (int i = 0; i < TOPICS; i++) {
-        text[i] = replica_text(r[i], now, asked[i].after, given_ms,
+        text[i] = replica_text(r[i], now, asked[i].after, lifetime_ms,
                                asked[i].differences);
         all = all && text[i] != NULL;
     }
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -172,15 +172,15 @@
 }
 
 static ms_t
-follow_once(follow_t *f, bool *leading)
+follow_once(follow_t *f, bool *from_store)
 {
     addr_t a = {0};
     bool place = true;
     bool peer = pick_peer(f, &a, &place);
     char text[ADDR_STRLEN];
 
-    if (peer == *leading) {
-        *leading = !peer;
+    if (peer == *from_store) {
+        *from_store = !peer;
         log_line(LVL_INFO, "follow", "Source changed. source=%s age_ms=%lld",
                  peer ? addr_text(&a, text) : "store",
                  (long long)(clock_now() - tagged_current_at(f->t)));
@@ -226,11 +226,11 @@
 follow_run(duty_t *self, void *tagged)
 {
     follow_t f = {.t = tagged, .self = self};
-    bool leading = true;
+    bool from_store = true;
 
     watch_init(&f.watch, f.t, TOPIC_UPSTREAMS, (ms_t)f.t->settings.drain_ms);
     while (!duty_stopping(self)) {
-        ms_t pause = follow_once(&f, &leading);
+        ms_t pause = follow_once(&f, &from_store);
         if (__atomic_exchange_n(&f.t->reload, false, __ATOMIC_RELAXED)) {
             reload(&f);
         }
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -397,7 +397,7 @@
 
 /* Updates the instances that may open flows at upstreams in warm-up. */
 static void
-update_warmers(packets_t *p)
+update_warm_up_instances(packets_t *p)
 {
     uint64_t self, warm_up_instance[WARM_UP_INSTANCES_MAX];
     uint32_t n;
@@ -418,7 +418,7 @@
     if (p->now < p->publish_at) {
         return;
     }
-    update_warmers(p);
+    update_warm_up_instances(p);
     pthread_mutex_lock(&p->t->stats_lock);
     p->t->stats = *flowset_stats(p->flows);
     pthread_mutex_unlock(&p->t->stats_lock);
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -352,7 +352,7 @@
 }
 
 char *
-replica_text(replica_t *r, ms_t now, uint64_t after, ms_t given_ms,
+replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
              bool differences)
 {
     store_items_t out = {0};
@@ -361,7 +361,7 @@
     pthread_mutex_lock(&r->lock);
     out.whole = after < r->complete_after;
     out.revision = r->items.revision;
-    out.age = now + given_ms - r->current_at;
+    out.age = now + lifetime_ms - r->current_at;
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -83,7 +83,7 @@
  * may be sent up to GIVEN_MS later, and its age allows for that.  With
  * DIFFERENCES, long values are sent as deltas where the previous value is
  * stored.  NULL without memory. */
-char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t given_ms,
+char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
                    bool differences);
 
 /* ---- Answers to peers, compressed and cached for equal requests ---- */
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -244,13 +244,13 @@
     int n = 0, rc = 0;
 
     for (int i = 0; i < TOPICS; i++) {
-        int taken = 0;
+        int applied = 0;
         items[i].age += transfer_ms; /* the age is as of the first byte */
         if (items[i].revision > 0) {
-            taken = updates_apply(t, &items[i]);
+            applied = updates_apply(t, &items[i]);
         }
-        n += taken > 0 ? taken : 0;
-        rc = rc < 0 ? rc : taken;
+        n += applied > 0 ? applied : 0;
+        rc = rc < 0 ? rc : applied;
     }
     return rc < 0 ? rc : n;
 }
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -298,7 +298,7 @@
 operator_run(duty_t *self, void *tagged)
 {
     tagged_t *t = tagged;
-    bool read = false;
+    bool was_reading = false;
     watch_t w;
 
     watch_init(&w, t, TOPIC_OPERATOR, (ms_t)t->settings.apply_ms);
@@ -309,10 +309,10 @@
         if (reads) {
             /* Peers delivered the topic so far: a watch from their revision
              * may transfer several versions. */
-            w.needs_resync = w.needs_resync || !read;
+            w.needs_resync = w.needs_resync || !was_reading;
             pause = watch_once(&w);
         }
-        read = reads;
+        was_reading = reads;
         if (pause > 0) {
             duty_wait(self, NULL, 0, pause);
         }
