--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -47,7 +47,7 @@
 {
     int rc = store_renew(a->t->writer, a->lease, e);
 
-    if (rc == -ENOENT) { /* the lease expired: register again */
+    if (rc == -ENOENT) { /* the lease expired: announce again */
         a->lease = 0;
     }
     return rc;
@@ -63,7 +63,7 @@
                           LEASE_MS, &a->lease, e);
 }
 
-/* Renews or registers as due; returns the time until the next check. */
+/* Renews or announces as due; returns the time until the next check. */
 static ms_t
 announce_once(announce_t *a)
 {
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -98,7 +98,7 @@
     return pause;
 }
 
-/* Handles a redirect: the peer has no free follower slot. */
+/* Handles a redirect: the peer has no free follower place. */
 static ms_t
 redirected(follow_t *f, const addr_t *a, const addr_t *redirect)
 {
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -395,7 +395,7 @@
     }
 }
 
-/* Updates the instances that may open flows at upstreams in warm-up. */
+/* Updates the instances that may open flows at upstreams in slow start. */
 static void
 update_warm_up_instances(packets_t *p)
 {
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -13,10 +13,10 @@
 /* Limit of suspended requests; further ones are answered at once. */
 #define WAITING_MAX 128
 #define WAIT_MAX_MS 10000
-/* Step of the replica's confirmation at which a suspended request is answered
- * without a change.  The peer's own followers wait for the confirmation, and
- * ages would otherwise add up along the path to a stale replica.  Smaller
- * steps are not passed on. */
+/* A suspended request is answered without a change once the time at which the
+ * replica was confirmed has advanced by this much.  The peer's own followers
+ * wait for the confirmation, and ages would otherwise add up along the path to
+ * a stale replica.  Smaller advances are not passed on. */
 #define CONFIRM_MS 300
 #define STACK_BYTES (128 * 1024)
 
@@ -121,7 +121,7 @@
     return next;
 }
 
-/* True if FROM has, or now gets, a follower slot; else *REDIRECT is the
+/* True if FROM has, or now gets, a follower place; else *REDIRECT is the
  * follower to poll. */
 static bool
 admit_follower(tagged_t *t, const addr_t *from, addr_t *redirect)
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -1,5 +1,6 @@
-/* tagged: the daemon that serves flows with a tag.  Each file is one duty;
- * duties share only messages, atomic state and the replica.
+/* tagged: the daemon that serves flows with a tag.  It consists of duties, one
+ * thread each, which share messages, atomic state, the replicas, and the
+ * state guarded by the locks of tagged_t.
  *
  *   packets   callers' packets: receive, decide (flow/), send and pace;
  *             probes
@@ -80,7 +81,7 @@
  * AFTER needs the whole replica. */
 bool replica_is_behind(replica_t *r, uint64_t after);
 /* Returns the items newer than revision AFTER as text for a peer.  The text
- * may be sent up to GIVEN_MS later, and its age allows for that.  With
+ * may be sent up to LIFETIME_MS later, and its age allows for that.  With
  * DIFFERENCES, long values are sent as deltas where the previous value is
  * stored.  NULL without memory. */
 char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
@@ -248,7 +249,7 @@
  * updates_apply(). */
 int updates_poll(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
                  err_t *e);
-/* The same as a follower of A.  -EREMOTE: A has no free follower slot, and
+/* The same as a follower of A.  -EREMOTE: A has no free follower place, and
  * *REDIRECT is the peer to follow. */
 int updates_follow(tagged_t *t, peer_client_t *c, const addr_t *a,
                    ms_t wait_ms, addr_t *redirect, err_t *e);
