--- a/standin/caller_main.c
+++ b/standin/caller_main.c
@@ -1,5 +1,5 @@
-/* si_caller: many callers in one process.  Each has a UDP socket of its own
- * and sends each datagram to an instance that the fabric picks. */
+/* si_caller: runs many callers in one process.  Each has its own UDP socket
+ * and sends each datagram to an instance picked by the fabric. */
 #include "standin/client.h"
 #include "standin/fabric.h"
 #include "standin/tool.h"
@@ -16,18 +16,18 @@
 #define CLIENTS_MAX 20000
 #define TICK_MS 10
 #define EVENTS 256
-#define BURST 16 /* datagrams read from one socket before the next */
+#define BURST 16 /* maximum datagrams read from a socket in a row */
 
 typedef struct {
     const char *platform;
     addr_t service;
-    addr_t from; /* the first client's IP */
+    addr_t from; /* IP of the first client */
     uint32_t clients[SI_KINDS];
     ms_t run_ms, grace_ms;
     si_client_params_t params;
     FILE *log;
     bool json;
-    int lose, repeat; /* of 100 datagrams */
+    int lose, repeat; /* percent of datagrams */
     uint64_t seed;
 } options_t;
 
@@ -44,7 +44,7 @@
     slot_t *slot;
     size_t n;
     si_tally_t tally[SI_KINDS];
-    uint64_t nowhere; /* datagrams while the fabric's list was empty */
+    uint64_t nowhere; /* datagrams dropped while the instance list was empty */
 } run_t;
 
 static void
@@ -90,7 +90,7 @@
     }
 }
 
-/* The I-th client's address: consecutive IPs, any port. */
+/* Address of the I-th client: consecutive IPs, any free port. */
 static addr_t
 client_addr(const options_t *o, size_t i)
 {
@@ -291,7 +291,7 @@
     si_fabric_close(r->fabric);
 }
 
-/* Waits until the fabric has an instance to send to. */
+/* Waits until the fabric lists an instance. */
 static void
 await_fabric(run_t *r)
 {
@@ -340,7 +340,7 @@
     return rc < 0 ? 1 : 0;
 }
 
-/* The command line; argtable wants its entries in one array. */
+/* Command-line options; argtable requires its entries in one array. */
 typedef struct {
     struct arg_str *platform, *service, *from;
     struct arg_int *kind[SI_KINDS];
--- a/standin/client.c
+++ b/standin/client.c
@@ -1,4 +1,4 @@
-/* One caller. */
+/* Caller stand-in. */
 #include "standin/client.h"
 #include "standin/feeds.h"
 
@@ -8,8 +8,9 @@
 
 #define ID_LEN 40
 #define TEXT_LEN 320
-#define ECHO_LOST_MAX 5 /* opaque datagrams lost in a row: the flow is cut */
-#define RETRY_MS 200    /* a feed that was cut opens anew after this */
+#define ECHO_LOST_MAX                                                         \
+    5 /* consecutive lost datagrams that count as a broken flow */
+#define RETRY_MS 200 /* delay before an interrupted feed registers again */
 
 const char *const si_kind_names[SI_KINDS] = {"feed", "ack", "upload", "read",
                                              "echo"};
@@ -17,7 +18,7 @@
     "answered", "refused", "unknown", "restart",
     "conflict", "other",   "timeout"};
 
-/* The request that waits for its answer. */
+/* The request that awaits its answer. */
 typedef struct {
     bool active;
     coap_msg_t msg;
@@ -26,8 +27,8 @@
     size_t len;
     int tries;
     ms_t first_at, again_at;
-    ms_t span;  /* to the next copy */
-    bool acked; /* an empty ACK came: the answer comes separately */
+    ms_t span;  /* retransmission timeout */
+    bool acked; /* by an empty ACK: the answer comes separately */
 } pending_t;
 
 struct si_client {
@@ -36,18 +37,18 @@
     si_tally_t *tally;
     rng_t rng;
     pending_t pending;
-    ms_t next_at; /* of the next request */
+    ms_t next_at; /* time of the next request */
     bool stopping;
-    uint32_t count; /* requests so far; makes payload IDs */
+    uint32_t count; /* payload IDs generated so far */
     uint16_t mid;
     uint32_t token;
     bool open; /* a feed is established */
     uint8_t feed_token_len;
     uint8_t feed_token[COAP_TOKEN_MAX];
     ms_t heard_at;
-    uint32_t block;     /* of the upload, next to send */
-    char upstream[100]; /* that echoed last, with its epoch */
-    int lost;           /* echoes in a row */
+    uint32_t block;     /* next block of the upload */
+    char upstream[100]; /* source of the last echo: address and epoch */
+    int lost;           /* consecutive lost echoes */
 };
 
 static void
@@ -94,7 +95,7 @@
     c->out.send(c->out.arg, b, (size_t)coap_encode(b, sizeof(b), &m));
 }
 
-/* A request of METHOD on PATH with a message ID and token of its own. */
+/* A request of METHOD on PATH with a new message ID and token. */
 static coap_msg_t
 new_request(si_client_t *c, uint8_t method, const char *path)
 {
@@ -195,7 +196,7 @@
     memcpy(p->bytes, p->id, p->len);
     p->first_at = now;
     p->again_at = now + c->params.ack_ms;
-    p->tries = SI_RETRANSMITS + 1; /* opaque: one copy only */
+    p->tries = SI_RETRANSMITS + 1; /* opaque: not retransmitted */
     c->tally->sent++;
     c->out.send(c->out.arg, p->bytes, p->len);
 }
@@ -285,7 +286,7 @@
     log_text(c, line);
 }
 
-/* A block was answered, or wasn't. */
+/* Handles the outcome of a block. */
 static void
 upload_ended(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
 {
@@ -294,7 +295,7 @@
         c->block++;
         return;
     }
-    if (o == SI_REFUSED) { /* the same block again, later */
+    if (o == SI_REFUSED) { /* send the same block again later */
         c->next_at = now + c->params.every_ms;
         return;
     }
@@ -317,7 +318,7 @@
     }
 }
 
-/* The pending request has come to outcome O; M is the answer, or NULL. */
+/* Ends the pending request with outcome O; M is the answer, or NULL. */
 static void
 ended(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
 {
@@ -343,9 +344,9 @@
     }
 }
 
-/* ---- What comes in ---- */
+/* ---- Incoming datagrams ---- */
 
-/* Copies the value of KEY in "k=v k=v" text. */
+/* Copies the value of KEY ("key=") in a text of "k=v k=v" fields. */
 static void
 field(char *out, size_t cap, const char *text, const char *key)
 {
@@ -366,7 +367,8 @@
     out[len] = '\0';
 }
 
-/* The whole answer to the client's own request, of its own service? */
+/* Checks that an answer names this client, its service and, unless WANT_ID is
+ * NULL, its request. */
 static void
 check_own(si_client_t *c, const coap_msg_t *m, const char *want_id)
 {
@@ -508,13 +510,13 @@
         on_notification(c, now, m);
         return;
     }
-    /* Of an earlier request or feed: reject it (RFC 7252 4.2). */
+    /* Belongs to an earlier request or feed: reject (RFC 7252 4.2). */
     if (m->type == COAP_T_CON || m->type == COAP_T_NON) {
         send_empty(c, COAP_T_RST, m->mid);
     }
 }
 
-/* "upstream=U epoch=E ID" */
+/* Handles an echo: "upstream=U epoch=E ID". */
 static void
 on_echo(si_client_t *c, ms_t now, const uint8_t *data, size_t len)
 {
@@ -527,7 +529,7 @@
     id = strrchr(text, ' ');
     if (id == NULL || !c->pending.active ||
         strcmp(id + 1, c->pending.id) != 0) {
-        return; /* late */
+        return; /* belongs to an earlier request */
     }
     field(upstream, sizeof(upstream), text, "upstream=");
     field(epoch, sizeof(epoch), text, "epoch=");
@@ -560,7 +562,7 @@
     }
 }
 
-/* ---- Time ---- */
+/* ---- Timers ---- */
 
 static void
 retransmit(si_client_t *c, ms_t now)
@@ -575,7 +577,7 @@
     p->again_at = now + p->span;
     p->tries++;
     if (p->acked) {
-        return; /* it has arrived; only the answer is waited for */
+        return; /* the request arrived; only wait for the answer */
     }
     c->tally->retransmitted++;
     c->out.send(c->out.arg, p->bytes, p->len);
@@ -650,7 +652,7 @@
     c->rng = (rng_t){.seed = p->seed};
     c->mid = (uint16_t)rng_next(&c->rng);
     c->token = (uint32_t)rng_next(&c->rng);
-    /* Clients don't all begin at once. */
+    /* Random delay so that the clients don't all start at once. */
     c->next_at = now + rng_below(&c->rng, (uint32_t)p->every_ms + 1);
     return c;
 }
--- a/standin/client.h
+++ b/standin/client.h
@@ -1,10 +1,11 @@
-/* client: a stand-in for one caller: one socket's worth of CoAP client (RFC
- * 7252, 7641, 7959) or of opaque datagrams.  Pure, as upstream.h is.
+/* client: a stand-in for one caller: a CoAP client (RFC 7252, 7641, 7959) or
+ * a sender of opaque datagrams on one socket.  Does no I/O itself, like
+ * upstream.h.
  *
  * Lines of the log: "post ..." with the outcome of each non-idempotent
- * request, "feed ..." when one is established, "uploaded ..." for a whole
- * upload, "broken ..." for a flow that was cut, "crossed ..." for an answer
- * that isn't the client's own.
+ * request, "feed ..." for each established feed, "uploaded ..." for each
+ * completed upload, "broken ..." for each interrupted flow, "crossed ..." for
+ * each answer that belongs to another client, service or request.
  */
 #ifndef SISKIN_STANDIN_CLIENT_H
 #define SISKIN_STANDIN_CLIENT_H
@@ -23,7 +24,7 @@
     SI_POST,   /* acknowledgements, setpoints */
     SI_UPLOAD, /* Block1 */
     SI_READ,   /* GET */
-    SI_ECHO,   /* opaque datagrams that come back */
+    SI_ECHO,   /* opaque datagrams that the upstream echoes */
     SI_KINDS
 } si_kind_t;
 
@@ -33,34 +34,34 @@
     SI_ANSWERED,
     SI_REFUSED,  /* 5.03: not run */
     SI_UNKNOWN,  /* 5.04: outcome unknown */
-    SI_RESTART,  /* 4.08: the upload starts again */
-    SI_CONFLICT, /* 4.09: barred */
+    SI_RESTART,  /* 4.08: restart the upload */
+    SI_CONFLICT, /* 4.09: cancelled */
     SI_OTHER,    /* another error code */
-    SI_TIMEOUT,  /* no answer to any copy */
+    SI_TIMEOUT,  /* no answer to any transmission */
     SI_OUTCOMES
 } si_outcome_t;
 
 extern const char *const si_outcome_names[SI_OUTCOMES];
 
-/* What clients of one kind have seen together. */
+/* Counters over all clients of one kind. */
 typedef struct {
-    uint64_t sent; /* requests, each with a message ID of its own */
+    uint64_t sent; /* requests, without retransmissions */
     uint64_t retransmitted;
     uint64_t outcome[SI_OUTCOMES];
     uint64_t established, notified; /* feeds */
-    uint64_t uploaded;              /* whole uploads */
-    uint64_t broken;                /* feeds, uploads, echoes that were cut */
-    uint64_t crossed;               /* answers that aren't the client's own */
-    hist_t ms;                      /* request to answer */
+    uint64_t uploaded;              /* completed uploads */
+    uint64_t broken;  /* interrupted feeds, uploads and echo flows */
+    uint64_t crossed; /* answers that belong to another request */
+    hist_t ms;        /* latency from request to answer */
 } si_tally_t;
 
 typedef struct {
     si_kind_t kind;
     addr_t service, self;
-    char name[16];   /* begins its payload IDs */
+    char name[16];   /* prefix of the payload IDs */
     ms_t ack_ms;     /* ACK_TIMEOUT */
     ms_t every_ms;   /* from one answer to the next request */
-    ms_t silence_ms; /* a feed without traffic so long is broken */
+    ms_t silence_ms; /* a feed without traffic for longer is broken */
     uint32_t blocks; /* of an upload */
     uint64_t seed;
 } si_client_params_t;
@@ -85,11 +86,11 @@
 void si_client_receive(si_client_t *c, ms_t now, const uint8_t *data,
                        size_t len);
 void si_client_tick(si_client_t *c, ms_t now);
-/* Begins nothing more; a feed is deregistered. */
+/* Starts no more requests, and deregisters the feed. */
 void si_client_stop(si_client_t *c);
-/* Nothing waits for an answer. */
+/* True when no request is pending. */
 bool si_client_idle(const si_client_t *c);
-/* Gives up what still waits: its outcome is a timeout. */
+/* Ends the pending request with a timeout. */
 void si_client_give_up(si_client_t *c, ms_t now);
 
 #ifdef __cplusplus
--- a/standin/conns.c
+++ b/standin/conns.c
@@ -1,4 +1,4 @@
-/* Clients by address. */
+/* Client table, keyed by address. */
 #include "standin/conns.h"
 #include "wire/wire.h"
 
--- a/standin/conns.h
+++ b/standin/conns.h
@@ -1,5 +1,5 @@
-/* conns: the clients that an upstream's stand-in has heard of, each with the
- * time when it was last seen.
+/* conns: an upstream stand-in's table of clients, each with the time of its
+ * last datagram.
  */
 #ifndef SISKIN_STANDIN_CONNS_H
 #define SISKIN_STANDIN_CONNS_H
@@ -19,10 +19,10 @@
     uint32_t n;
 } si_conns_t;
 
-/* Notes that CLIENT was seen.  False when it isn't known, or, with ADD, when
- * there is no memory for it. */
+/* Sets CLIENT's last-seen time to NOW.  With ADD, inserts an unknown client.
+ * False when the client is unknown and not added, or memory is exhausted. */
 bool si_conns_touch(si_conns_t *cs, ms_t now, const addr_t *client, bool add);
-/* Forgets those last seen before THEN. */
+/* Removes the clients last seen before THEN. */
 void si_conns_sweep(si_conns_t *cs, ms_t then);
 
 #ifdef __cplusplus
--- a/standin/exchanges.c
+++ b/standin/exchanges.c
@@ -1,4 +1,4 @@
-/* Requests by client and message ID. */
+/* Exchange table, keyed by client and message ID. */
 #include "standin/exchanges.h"
 
 #include <stdlib.h>
--- a/standin/fabric.c
+++ b/standin/fabric.c
@@ -1,4 +1,4 @@
-/* The fabric's list, polled over HTTP (libcurl, jansson). */
+/* Instance list of the fabric, polled over HTTP (libcurl, jansson). */
 #include "standin/fabric.h"
 
 #include <curl/curl.h>
@@ -24,11 +24,11 @@
     int lose, repeat; /* of 100 datagrams */
     si_target_t list[SI_FABRIC_MAX];
     size_t n;
-    addr_t returns[RETURNS_MAX]; /* every return address seen */
+    addr_t returns[RETURNS_MAX]; /* every return address listed so far */
     size_t n_returns;
 };
 
-/* The body of one answer. */
+/* The body of an HTTP answer. */
 typedef struct {
     char *data;
     size_t len;
@@ -140,7 +140,7 @@
     free(a.data);
 }
 
-/* Sleeps until the next poll; false when the fabric is being closed. */
+/* Waits for the poll interval; false when the fabric is being closed. */
 static bool
 wait_poll(si_fabric_t *f)
 {
--- a/standin/feeds.c
+++ b/standin/feeds.c
@@ -135,7 +135,8 @@
     send_one(f, con ? COAP_T_CON : COAP_T_NON, f->last_mid, notify, arg);
 }
 
-/* False when the feed has been given up. */
+/* Retransmits a notification.  False when the feed has been removed because no
+ * ACK arrived. */
 static bool
 resend_due(si_feeds_t *fs, si_feed_t *f, ms_t now, si_notify_t *notify,
            void *arg)
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -1,5 +1,5 @@
-/* The platform's stand-in: one mutex over everything, a condition variable
- * for the watches. */
+/* Platform stand-in: one mutex protects all state, a condition variable wakes
+ * the watches. */
 #include "standin/platform.h"
 #include "standin/rest.h"
 
@@ -30,7 +30,7 @@
 static const char *const call_names[CALL_COUNT] = {
     "read", "watch", "write", "lease", "list", "register"};
 
-/* A key, its value and the one before it (for stale reads). */
+/* A key with its value and its previous value (for stale reads). */
 typedef struct {
     char key[NAME_MAX_LEN];
     char *value, *before;
@@ -42,14 +42,14 @@
     ms_t until;
 } lease_t;
 
-/* An instance as it last registered. */
+/* An instance with its last registration. */
 typedef struct {
     char name[NAME_MAX_LEN];
     json_t *record;
     ms_t renewed_at;
 } reg_t;
 
-/* A change that the list will show later; RECORD is NULL for a leaving. */
+/* A change not yet visible in the list; RECORD is NULL for a removal. */
 typedef struct {
     ms_t at;
     char name[NAME_MAX_LEN];
@@ -72,7 +72,7 @@
     size_t n_reg;
     event_t event[EVENTS_MAX];
     size_t n_event;
-    json_t *listed; /* name to record, as the lagging list shows it */
+    json_t *listed; /* the delayed list: name to record */
 };
 
 static const si_reply_t cut = {.status = 0};
@@ -83,7 +83,7 @@
     return (si_reply_t){.status = status, .body = body};
 }
 
-/* The answer to a write that has taken effect; lost when switched so. */
+/* The answer to an applied write; dropped while lose_answers is set. */
 static si_reply_t
 write_reply(si_platform_t *p, int status, json_t *body)
 {
@@ -122,7 +122,7 @@
     return kv;
 }
 
-/* Waits on the lock until REVISION passes AFTER, or the time is over. */
+/* Waits until the key's revision exceeds AFTER, or WAIT ms have passed. */
 static void
 kv_wait(si_platform_t *p, const char *key, ms_t wait, uint64_t after)
 {
@@ -263,7 +263,7 @@
     *g = p->reg[--p->n_reg];
 }
 
-/* Removes what has not been renewed. */
+/* Removes the instances whose registration has expired. */
 static void
 reg_expire(si_platform_t *p, ms_t now)
 {
@@ -290,7 +290,7 @@
     return NULL;
 }
 
-/* Brings the list up to what it shows at NOW. */
+/* Applies the changes that are visible in the list at NOW. */
 static void
 list_update(si_platform_t *p, ms_t now)
 {
@@ -373,7 +373,7 @@
     return write_reply(p, 200, json_object());
 }
 
-/* ---- Switches and counts ---- */
+/* ---- Fault switches and counters ---- */
 
 static si_reply_t
 switch_call(si_platform_t *p, const si_request_t *r)
@@ -403,7 +403,8 @@
 
 /* ---- Requests ---- */
 
-/* The rest of PATH behind PREFIX, or NULL. */
+/* Returns the part of PATH after PREFIX, or NULL when PATH has no such prefix
+ * or nothing after it. */
 static const char *
 after_prefix(const char *path, const char *prefix)
 {
@@ -458,7 +459,8 @@
     return si_reply_error(404, "no such resource");
 }
 
-/* The fabric and the tests' own calls: neither counted nor out of reach. */
+/* Handles the calls of the fabric and of the tests, which are neither counted
+ * nor affected by injected faults. */
 static bool
 unaffected(si_platform_t *p, const si_request_t *r, si_reply_t *out)
 {
@@ -477,9 +479,9 @@
     return false;
 }
 
-/* In an outage the call fails.  The fabric, whose health checks don't need
- * the service, still learns who lives: a registration that was attempted
- * counts for its list. */
+/* Fails a call during an outage.  The fabric's health checks don't depend on
+ * the key-value service and still find the live instances, so an attempted
+ * registration counts for the fabric's list. */
 static si_reply_t
 call_in_outage(si_platform_t *p, const si_request_t *r)
 {
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -1,7 +1,7 @@
-/* platform: a stand-in for the users' platform: the key-value service with
- * compare-and-swap, watches and leases, and the lagging list of instances, as
- * plat/plat.h and docs/PLATFORM.md tell it.  Kept in memory; faults are
- * switched on at run time.
+/* platform: a stand-in for the platform: the key-value service with
+ * compare-and-swap, watches and leases, and the delayed list of instances, as
+ * described in plat/plat.h and docs/PLATFORM.md.  All state is in memory.
+ * Faults are injected at run time.
  */
 #ifndef SISKIN_STANDIN_PLATFORM_H
 #define SISKIN_STANDIN_PLATFORM_H
@@ -14,8 +14,8 @@
 
 typedef struct {
     uint16_t port;    /* on 127.0.0.1; 0: any */
-    ms_t list_lag_ms; /* a change of the list is seen so much later */
-    ms_t expire_ms;   /* an instance not renewed so long has vanished */
+    ms_t list_lag_ms; /* delay until a change appears in the list */
+    ms_t expire_ms;   /* lifetime of a registration without renewal */
 } si_platform_params_t;
 
 #define SI_PLATFORM_PARAMS                                                    \
--- a/standin/platform_main.c
+++ b/standin/platform_main.c
@@ -1,4 +1,4 @@
-/* si_platform: the platform's stand-in as a program. */
+/* si_platform: runs the platform stand-in. */
 #include "standin/platform.h"
 #include "standin/tool.h"
 
--- a/standin/rest.c
+++ b/standin/rest.c
@@ -1,4 +1,4 @@
-/* The stand-ins' HTTP server, over libmicrohttpd. */
+/* HTTP server of the stand-ins, on libmicrohttpd. */
 #include "standin/rest.h"
 
 #include <arpa/inet.h>
@@ -16,7 +16,7 @@
     void *arg;
 };
 
-/* A request's body as it comes in pieces. */
+/* Accumulates the pieces of a request's body. */
 typedef struct {
     char *data;
     size_t len;
--- a/standin/udp.h
+++ b/standin/udp.h
@@ -1,4 +1,4 @@
-/* udp: nonblocking UDP sockets of the stand-ins. */
+/* udp: nonblocking UDP sockets for the stand-ins. */
 #ifndef SISKIN_STANDIN_UDP_H
 #define SISKIN_STANDIN_UDP_H
 
@@ -8,13 +8,15 @@
 extern "C" {
 #endif
 
-/* A socket bound to ADDR (port 0: any), or a negative errno. */
+/* Returns a socket bound to ADDR (port 0: any free port), or a negative errno.
+ */
 int si_udp_open(const addr_t *addr);
-/* The address that FD has. */
+/* Gets FD's local address. */
 int si_udp_local(int fd, addr_t *addr);
-/* One datagram; a full socket buffer drops it, as a network would. */
+/* Sends one datagram; like a network, drops the datagram when the socket
+ * buffer is full. */
 void si_udp_send(int fd, const addr_t *to, const uint8_t *data, size_t len);
-/* Bytes read, or -EAGAIN when there is nothing. */
+/* Returns the number of bytes read, or -EAGAIN when no datagram is pending. */
 int si_udp_receive(int fd, addr_t *from, uint8_t *data, size_t cap);
 
 #ifdef __cplusplus
--- a/standin/uploads.c
+++ b/standin/uploads.c
@@ -6,7 +6,7 @@
 typedef struct {
     link_t link;
     addr_t client;
-    uint32_t next; /* block expected */
+    uint32_t next; /* number of the expected block */
     uint64_t bytes;
 } upload_t;
 
@@ -44,7 +44,7 @@
     return NULL;
 }
 
-/* The client's upload from its first block on. */
+/* Starts or restarts the client's upload. */
 static upload_t *
 upload_start(si_uploads_t *us, const addr_t *client)
 {
--- a/standin/uploads.h
+++ b/standin/uploads.h
@@ -1,5 +1,5 @@
-/* uploads: the Block1 uploads that an upstream's stand-in is receiving (RFC
- * 7959), one a client.
+/* uploads: the Block1 uploads in progress at an upstream stand-in (RFC 7959),
+ * one per client.
  */
 #ifndef SISKIN_STANDIN_UPLOADS_H
 #define SISKIN_STANDIN_UPLOADS_H
@@ -19,8 +19,8 @@
 
 void si_uploads_init(si_uploads_t *us);
 void si_uploads_clear(si_uploads_t *us);
-/* Takes a block of CLIENT; gives the answer's code (RFC 7959 2.9), and in
- * *BYTES how much of the upload has come. */
+/* Handles a block from CLIENT.  Returns the answer's code (RFC 7959 2.9) and
+ * sets *BYTES to the number of bytes received so far. */
 uint8_t si_uploads_block(si_uploads_t *us, const addr_t *client,
                          const coap_msg_t *m, uint64_t *bytes);
 
--- a/standin/upstream.c
+++ b/standin/upstream.c
@@ -1,4 +1,5 @@
-/* One upstream: duplicate detection, slots, tombstones, uploads, load. */
+/* Upstream stand-in: duplicate detection, slots, cancelled requests, uploads,
+ * load. */
 #include "standin/upstream.h"
 #include "standin/conns.h"
 #include "standin/exchanges.h"
@@ -22,14 +23,14 @@
     si_exchanges_t exchanges;
     si_conns_t conns;
     si_uploads_t uploads;
-    link_t queue, running; /* exchanges, by their work link */
+    link_t queue, running; /* exchanges, linked by their work field */
     uint32_t n_queue, n_running;
     uint16_t mid;
-    ms_t now;   /* of the current step */
-    ms_t up_at; /* silent before it */
+    ms_t now;   /* time of the current tick */
+    ms_t up_at; /* unreachable before */
     ms_t sweep_at;
     bool draining, frozen;
-    int lie; /* negative: none */
+    int lie; /* busy requests to report; negative: the real value */
     ms_t shown_at;
     uint32_t shown_busy, shown_queued, shown_conn;
 };
@@ -50,7 +51,7 @@
     u->out.send(u->out.arg, to, b, SPP_LEN + (size_t)n);
 }
 
-/* The empty answer to M, of CODE. */
+/* Returns an answer to M with CODE and no payload. */
 static coap_msg_t
 answer_to(si_upstream_t *u, const coap_msg_t *m, uint8_t code)
 {
@@ -77,7 +78,7 @@
 
 /* ---- Answers ---- */
 
-/* Sends answer A to the request, and keeps it for later copies. */
+/* Sends answer A, and stores the encoded answer for duplicates. */
 static void
 ex_answer(si_upstream_t *u, si_exchange_t *x, const coap_msg_t *a)
 {
@@ -115,7 +116,7 @@
     }
 }
 
-/* Refuses a request that has not started; it never will. */
+/* Refuses a request that has not started, for good. */
 static void
 ex_refuse(si_upstream_t *u, si_exchange_t *x, const coap_msg_t *m)
 {
@@ -126,7 +127,7 @@
     ex_answer(u, x, &a);
 }
 
-/* False when the client is new and there is no place for it. */
+/* False when the client is new and can't be added. */
 static bool
 conn_touch(si_upstream_t *u, ms_t now, const addr_t *client)
 {
@@ -137,7 +138,7 @@
 
 /* ---- Running requests ---- */
 
-/* The payload ID: the payload's first word. */
+/* Extracts the payload ID: the first word of the payload. */
 static void
 payload_id(char id[SI_ID_MAX], const coap_msg_t *m)
 {
@@ -179,7 +180,8 @@
     u->out.log(u->out.arg, line);
 }
 
-/* What every answer carries, so that a caller can tell whose it is. */
+/* Formats the payload of an answer, which names the request and the upstream
+ * so that a caller can detect a misrouted answer. */
 static size_t
 answer_payload(si_upstream_t *u, char out[PAYLOAD_MAX], const char *id,
                const spp_t *header)
@@ -194,7 +196,7 @@
     return n < PAYLOAD_MAX ? (size_t)n : PAYLOAD_MAX - 1;
 }
 
-/* Registers a feed, or ends one; gives the answer's Observe value. */
+/* Registers or removes a feed; returns the answer's Observe value. */
 static uint32_t
 observe(si_upstream_t *u, ms_t now, const si_exchange_t *x,
         const coap_msg_t *m)
@@ -210,8 +212,8 @@
                                                                  : COAP_NONE;
 }
 
-/* A block that is answered 4.08 was not taken.  The upload as a whole runs
- * with its last block. */
+/* Handles a block of an upload.  A block that is answered 4.08 is not
+ * accepted. The last block runs the upload as a whole. */
 static uint8_t
 take_block(si_upstream_t *u, const si_exchange_t *x, const coap_msg_t *m,
            uint64_t *bytes)
@@ -297,7 +299,7 @@
     }
 }
 
-/* ---- What comes in ---- */
+/* ---- Incoming datagrams ---- */
 
 static void
 on_request(si_upstream_t *u, ms_t now, const addr_t *from, const spp_t *header,
@@ -387,7 +389,7 @@
     answer_text(u, from, header, m, COAP_CONTENT, text);
 }
 
-/* "c=IP:PORT&m=MID&o=OWNER", the owner may be missing */
+/* Parses "c=IP:PORT&m=MID&o=OWNER"; the owner is optional. */
 static int
 cancel_parse(const char *query, addr_t *client, uint16_t *mid,
              const char **owner)
@@ -411,7 +413,8 @@
     return addr_parse(client, text);
 }
 
-/* Bars the request, unless it has started; gives its state. */
+/* Cancels the request unless it has started; returns its state, or NULL when
+ * the exchange can't be added. */
 static const char *
 bar(si_upstream_t *u, ms_t now, const spp_t *header, uint16_t mid,
     const char *owner, char *by, size_t by_cap)
@@ -499,7 +502,8 @@
     }
 }
 
-/* An opaque datagram: returned behind the upstream's name and epoch. */
+/* Echoes an opaque datagram, prefixed with the upstream's address and epoch.
+ */
 static void
 on_opaque(si_upstream_t *u, ms_t now, const addr_t *from, const spp_t *header,
           const uint8_t *data, size_t len)
@@ -574,7 +578,7 @@
     }
 }
 
-/* ---- Time ---- */
+/* ---- Timers ---- */
 
 static void
 notify(void *arg, const si_feed_t *f, const coap_msg_t *m)
@@ -613,7 +617,7 @@
     }
 }
 
-/* ---- Life ---- */
+/* ---- Lifecycle ---- */
 
 static void
 forget(si_upstream_t *u)
--- a/standin/upstream.h
+++ b/standin/upstream.h
@@ -1,6 +1,7 @@
-/* upstream: a stand-in for one upstream, as docs/UPSTREAM.md asks.  Pure:
- * datagrams and time come in as arguments, datagrams and lines of the run log
- * go out through callbacks; si_upstream gives many of them their sockets.
+/* upstream: a stand-in for one upstream that conforms to docs/UPSTREAM.md.
+ * Does no I/O itself: datagrams and the time are arguments; datagrams and
+ * lines of the run log go out through callbacks.  The program si_upstream runs
+ * many of them, each on its own socket.
  */
 #ifndef SISKIN_STANDIN_UPSTREAM_H
 #define SISKIN_STANDIN_UPSTREAM_H
@@ -13,9 +14,9 @@
 extern "C" {
 #endif
 
-#define SI_ID_MAX 40 /* a payload ID and its NUL */
+#define SI_ID_MAX 40 /* a payload ID with its NUL */
 
-/* What it has to tell the outside. */
+/* The upstream's output callbacks. */
 typedef struct {
     void *arg;
     void (*send)(void *arg, const addr_t *to, const uint8_t *data, size_t len);
@@ -27,13 +28,13 @@
     bool opaque; /* protocol "udp": datagrams are echoed */
     uint32_t epoch;
     uint16_t slots;
-    uint16_t queue; /* requests that wait for a slot */
+    uint16_t queue; /* limit of requests waiting for a slot */
     uint32_t connections;
     ms_t service_ms;
-    ms_t cold_ms; /* for so long after the start all takes 5 times as long */
-    ms_t idle_ms; /* a silent connection is forgotten */
+    ms_t cold_ms; /* warm-up after a start: requests take 5 times as long */
+    ms_t idle_ms; /* a connection idle for longer is removed */
     ms_t load_lag_ms;
-    ms_t feed_ms; /* between notifications */
+    ms_t feed_ms; /* interval between notifications */
     int con_every;
     ms_t ack_ms;
     uint32_t come_back_s; /* Max-Age of a refusal */
@@ -48,7 +49,7 @@
 
 typedef struct {
     uint64_t executed, duplicates, barred, shed, late;
-    uint64_t misdelivered; /* for a service that it isn't */
+    uint64_t misdelivered; /* addressed to another service */
     uint64_t probe_mismatch, malformed, echoed;
 } si_upstream_stats_t;
 
@@ -60,24 +61,25 @@
 
 void si_upstream_receive(si_upstream_t *u, ms_t now, const addr_t *from,
                          const uint8_t *data, size_t len);
-/* Each few milliseconds. */
+/* To be called every few milliseconds. */
 void si_upstream_tick(si_upstream_t *u, ms_t now);
 
-/* Loses its memory, is silent for DOWN_MS, and starts with the next epoch, as
- * SERVICE (NULL: the same). */
+/* Clears all state, is unreachable for DOWN_MS, and then starts with the next
+ * epoch, as an upstream of SERVICE (NULL: the same service). */
 void si_upstream_restart(si_upstream_t *u, ms_t now, ms_t down_ms,
                          const addr_t *service);
-/* Silent until restarted. */
+/* Unreachable until restarted. */
 void si_upstream_kill(si_upstream_t *u);
 void si_upstream_drain(si_upstream_t *u, bool on);
-/* The load endpoint goes on showing what it last showed. */
+/* While ON, the load endpoint repeats the last reported values. */
 void si_upstream_freeze(si_upstream_t *u, bool on);
-/* The load endpoint says BUSY requests; negative: the truth. */
+/* The load endpoint reports BUSY running requests; negative: the real value.
+ */
 void si_upstream_lie(si_upstream_t *u, int busy);
 
 const si_upstream_params_t *si_upstream_params(const si_upstream_t *u);
 const si_upstream_stats_t *si_upstream_stats(const si_upstream_t *u);
-/* For the admin port. */
+/* Counters and state for the admin port. */
 json_t *si_upstream_json(const si_upstream_t *u);
 
 #ifdef __cplusplus
--- a/standin/upstream_main.c
+++ b/standin/upstream_main.c
@@ -1,5 +1,5 @@
-/* si_upstream: many upstreams in one process, each with a socket of its own,
- * and an admin port to restart, kill, drain or freeze them. */
+/* si_upstream: runs many upstreams in one process, each on its own socket,
+ * with an admin port to restart, kill, drain or freeze them. */
 #include "conf/conf.h"
 #include "standin/fabric.h"
 #include "standin/rest.h"
@@ -18,7 +18,7 @@
 
 #define UPSTREAMS_MAX 256
 #define TICK_MS 5
-#define BURST 64 /* datagrams read from one socket before the next */
+#define BURST 64 /* maximum datagrams read from a socket in a row */
 /* Longer than IDENTITY_LEASE_MS, as docs/UPSTREAM.md requires. */
 #define DOWN_MS 5000
 #define FILES_MAX 17 /* a base and 16 data centres */
@@ -32,14 +32,15 @@
 typedef struct host {
     si_fabric_t *fabric;
     si_rest_t *rest;
-    pthread_mutex_t lock; /* between the loop and the admin port */
+    pthread_mutex_t lock; /* serialises the loop and the admin port */
     int epoll;
     FILE *log;
     slot_t slot[UPSTREAMS_MAX];
     size_t n;
 } host_t;
 
-/* A return address stands for all instances: the fabric picks one. */
+/* Sends a reply.  A return address denotes all instances: the fabric picks the
+ * receiver. */
 static void
 send_reply(void *arg, const addr_t *to, const uint8_t *data, size_t len)
 {
@@ -124,7 +125,7 @@
     return rc;
 }
 
-/* The whole of FILE, or NULL. */
+/* Returns the contents of FILE, or NULL. */
 static char *
 read_file(const char *file, err_t *e)
 {
@@ -143,7 +144,7 @@
     return text;
 }
 
-/* Opens the upstreams that a base file and its overlays name. */
+/* Opens the upstreams of a base file and its overlays. */
 static int
 open_files(host_t *h, const char **file, size_t n,
            const si_upstream_params_t *defaults, err_t *e)
@@ -312,7 +313,7 @@
     free(h);
 }
 
-/* The command line; argtable wants its entries in one array. */
+/* Command-line options; argtable requires its entries in one array. */
 typedef struct {
     struct arg_str *platform;
     struct arg_file *conf, *log;
--- a/standin/verdict.c
+++ b/standin/verdict.c
@@ -1,4 +1,5 @@
-/* What callers were told against what upstreams ran, by payload ID. */
+/* Matches the outcomes reported to callers with the requests executed by
+ * upstreams, by payload ID. */
 #include "standin/verdict.h"
 
 #include <jansson.h>
@@ -7,8 +8,7 @@
 
 #define VALUE_MAX 64
 
-/* The table is a JSON object: ID to {"runs": n, "blocks": n, "outcome": text}.
- */
+/* IDS maps each payload ID to {"runs": n, "blocks": n, "outcome": text}. */
 struct si_verdict {
     json_t *ids;
     uint64_t misdelivered, crossed, broken;
@@ -34,7 +34,7 @@
     }
 }
 
-/* The value of " KEY=" in LINE; false when it is absent. */
+/* Copies the value of KEY (" key=") in LINE; false when the key is absent. */
 static bool
 value(char out[VALUE_MAX], const char *line, const char *key)
 {
@@ -64,7 +64,7 @@
     return e;
 }
 
-/* Counts one more of WHAT, "runs" or "blocks". */
+/* Increments WHAT, "runs" or "blocks", of the request in LINE. */
 static void
 on_run(si_verdict_t *v, const char *line, const char *what)
 {
@@ -144,7 +144,7 @@
     return outcome_is(e, "refused") || outcome_is(e, "conflict");
 }
 
-/* What is wrong with one request. */
+/* Returns the fault of a request. */
 static fault_t
 fault(const json_t *e)
 {
--- a/standin/verdict_main.c
+++ b/standin/verdict_main.c
@@ -1,5 +1,5 @@
-/* si_verdict: reads the logs of callers and upstreams and says whether the
- * promises were kept.  Exits 1 if one wasn't. */
+/* si_verdict: checks the logs of callers and upstreams for violations of the
+ * delivery guarantees.  Exits with 1 when there are any. */
 #include "standin/tool.h"
 #include "standin/verdict.h"
 
@@ -25,7 +25,7 @@
     return 0;
 }
 
-/* The exit status. */
+/* Prints the counts; returns the exit status. */
 static int
 print(const si_verdict_t *v, bool allow_broken)
 {
--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -1,5 +1,5 @@
-// The stand-ins themselves: a stand-in that is wrong would make the tests of
-// the balancer pass for nothing.
+// Tests of the stand-ins: a faulty stand-in would let the balancer's tests
+// pass without checking anything.
 #include "standin/client.h"
 #include "standin/exchanges.h"
 #include "standin/fabric.h"
@@ -32,7 +32,7 @@
 static const addr_t source = addr("127.20.1.1:7000");
 static const addr_t caller = addr("127.20.9.1:4000");
 
-// ---- The platform, over HTTP ----
+// ---- Platform, over HTTP ----
 
 struct answer {
     long status; // 0: no answer
@@ -129,7 +129,7 @@
         << "the lease had lapsed";
 }
 
-// The write takes effect, and the writer isn't told.
+// The write is applied, but its answer is lost.
 TEST(Platform, LosesAnswersAfterTheEffect)
 {
     platform p;
@@ -179,8 +179,8 @@
     EXPECT_EQ(none, p.call("GET", "/v1/instances").body);
 }
 
-// The fabric's health checks don't go through the key-value service: an
-// outage of it must not make the fabric forget instances that live.
+// The fabric's health checks don't use the key-value service: an outage of the
+// service must not remove live instances from the fabric's list.
 TEST(Platform, FabricSeesInstancesThroughAnOutage)
 {
     platform p;
@@ -206,7 +206,7 @@
               p.call("GET", "/v1/stats").body);
 }
 
-// ---- The fabric ----
+// ---- Fabric ----
 
 TEST(Fabric, PicksAllButTheLeavingAndRemembersReturnAddresses)
 {
@@ -250,7 +250,7 @@
     EXPECT_NEAR(300, seen[2], 60);
 }
 
-// ---- One upstream ----
+// ---- Upstream ----
 
 struct datagram {
     addr_t to;
@@ -310,7 +310,7 @@
             si_upstream_tick(u, now);
         }
     }
-    // The I-th datagram sent, decoded; negative: from the end.
+    // Decodes the I-th datagram sent; negative: counted from the end.
     coap_msg_t
     got(int i = -1)
     {
@@ -388,7 +388,7 @@
               b.log[0]);
 }
 
-// After EXCHANGE_LIFETIME the message ID names another request.
+// After EXCHANGE_LIFETIME the message ID identifies a new request.
 TEST(Upstream, MessageIdMayBeUsedAgainAfterItsLifetime)
 {
     bed b;
@@ -433,7 +433,7 @@
     EXPECT_EQ(1u, b.stats().barred);
 }
 
-// Two instances cancel the same request: both learn who came first.
+// Two instances cancel the same request: both answers name the first one.
 TEST(Upstream, TellsWhoBarredFirst)
 {
     bed b;
@@ -526,7 +526,7 @@
     EXPECT_EQ(0u, b.stats().executed);
     ASSERT_EQ(1u, b.log.size());
     EXPECT_EQ(0u, b.log[0].find("misdelivered service=127.20.0.2:5684 "));
-    // A probe asks which service this is: no fault.
+    // An identity probe for another service is a mismatch, not a misdelivery.
     b.put(well_known(COAP_GET, "load"), source, other);
     EXPECT_EQ(0u, b.text().find("{\"service\":\"127.20.0.1:5683\""));
     EXPECT_EQ(1u, b.stats().misdelivered);
@@ -626,7 +626,7 @@
     EXPECT_GT(b.sent.size(), 390u);
 }
 
-// A client that is gone: after the last retransmission (62 s) the feed ends.
+// The client has gone: the feed ends after the last retransmission (62 s).
 TEST(Feed, EndsWhenNoNotificationIsAcknowledged)
 {
     bed b;
@@ -702,10 +702,10 @@
     EXPECT_NE(string::npos, b.text().find("\"connections\":1"));
 }
 
-// ---- Callers against an upstream, through a relay ----
+// ---- Callers and an upstream, through a relay ----
 
-// A relay with one upstream: what a balancer does in the easiest case.  It
-// loses, repeats and delays datagrams as SEED says.
+// A relay with one upstream, the simplest case of a balancer.  Loses, repeats
+// and delays datagrams, pseudo-randomly from SEED.
 struct relay {
     struct parcel {
         ms_t at;
@@ -718,7 +718,7 @@
     si_verdict_t *verdict = si_verdict_new();
     std::deque<parcel> wire;
     rng_t rng;
-    uint32_t lose, repeat; // of 100
+    uint32_t lose, repeat; // percent
     ms_t now = 1000;
     bool cut = false;
     si_client_params_t params = SI_CLIENT_PARAMS;
@@ -816,8 +816,8 @@
     }
 };
 
-// Whatever the network does with datagrams, one upstream that remembers runs
-// each request once, and the caller is told the truth.
+// Under loss, duplication and delay, one upstream with duplicate detection
+// runs each request once, and the caller gets the true outcome.
 RC_GTEST_PROP(Callers, OneUpstreamRunsEachPostOnce,
               (uint32_t seed, bool upload))
 {
@@ -860,7 +860,8 @@
     EXPECT_EQ(0u, r.finish().broken);
 }
 
-// The path goes silent: the caller counts a broken feed and opens anew.
+// The path drops all datagrams: the caller counts a broken feed and registers
+// again.
 TEST(Callers, SilentFeedIsBroken)
 {
     relay r(SI_FEED, 1, 0, 0);
@@ -919,7 +920,7 @@
     EXPECT_EQ(1u, r.tally.crossed);
 }
 
-// ---- The verdict ----
+// ---- Verdict ----
 
 static si_counts_t
 judge(std::vector<const char *> lines)
