--- a/standin/caller_main.c
+++ b/standin/caller_main.c
@@ -43,8 +43,9 @@
     int epoll;
     slot_t *slot;
     size_t n;
-    si_tally_t tally[SI_KINDS];
-    uint64_t nowhere; /* datagrams dropped while the instance list was empty */
+    si_client_stats_t stats[SI_KINDS];
+    uint64_t undeliverable; /* datagrams dropped while the instance list was
+                               empty */
 } run_t;
 
 static void
@@ -55,7 +56,7 @@
     addr_t to = s->run->o->service;
 
     if (!si_fabric_pick(s->run->fabric, &t)) {
-        s->run->nowhere++;
+        s->run->undeliverable++;
         return;
     }
     if (t.service_ip[0] != '\0') {
@@ -70,7 +71,7 @@
 }
 
 static void
-send_any(void *arg, const uint8_t *data, size_t len)
+send_copies(void *arg, const uint8_t *data, size_t len)
 {
     slot_t *s = arg;
     int copies = si_fabric_copies(s->run->fabric);
@@ -81,7 +82,7 @@
 }
 
 static void
-log_line_out(void *arg, const char *line)
+write_log(void *arg, const char *line)
 {
     slot_t *s = arg;
 
@@ -112,7 +113,7 @@
     slot_t *s = &r->slot[i];
     addr_t local = client_addr(r->o, i);
     si_client_params_t p = r->o->params;
-    si_client_out_t out = {.arg = s, .send = send_any, .log = log_line_out};
+    si_client_out_t out = {.arg = s, .send = send_copies, .log = write_log};
     struct epoll_event ev = {.events = EPOLLIN, .data.ptr = s};
 
     s->run = r;
@@ -128,7 +129,7 @@
     p.seed = hash_mix(r->o->seed, i);
     snprintf(p.name, sizeof(p.name), "%c%llx.%zu", si_kind_names[kind][0],
              (unsigned long long)(r->o->seed & 0xFFFF), i);
-    s->client = si_client_new(&p, &out, &r->tally[kind], clock_now());
+    s->client = si_client_new(&p, &out, &r->stats[kind], clock_now());
     return epoll_ctl(r->epoll, EPOLL_CTL_ADD, s->fd, &ev) < 0 ? -errno : 0;
 }
 
@@ -205,7 +206,7 @@
         step(r);
     }
     for (size_t i = 0; i < r->n; i++) {
-        si_client_give_up(r->slot[i].client, clock_now());
+        si_client_abort(r->slot[i].client, clock_now());
     }
 }
 
@@ -213,7 +214,7 @@
 print_text(const run_t *r)
 {
     for (int k = 0; k < SI_KINDS; k++) {
-        const si_tally_t *t = &r->tally[k];
+        const si_client_stats_t *t = &r->stats[k];
         if (r->o->clients[k] == 0) {
             continue;
         }
@@ -236,7 +237,7 @@
 }
 
 static json_t *
-tally_json(const si_tally_t *t)
+stats_json(const si_client_stats_t *t)
 {
     json_t *o = json_object();
     const struct {
@@ -269,7 +270,7 @@
 
     for (int k = 0; k < SI_KINDS; k++) {
         if (r->o->clients[k] > 0) {
-            json_object_set_new(o, si_kind_names[k], tally_json(&r->tally[k]));
+            json_object_set_new(o, si_kind_names[k], stats_json(&r->stats[k]));
         }
     }
     json_dumpf(o, stdout, JSON_INDENT(1));
@@ -293,7 +294,7 @@
 
 /* Waits until the fabric lists an instance. */
 static void
-await_fabric(run_t *r)
+wait_for_fabric(run_t *r)
 {
     ms_t end = clock_now() + r->o->run_ms;
 
@@ -325,8 +326,8 @@
         close_all(&r);
         return 1;
     }
-    si_fabric_faults(r.fabric, o->lose, o->repeat);
-    await_fabric(&r);
+    si_fabric_set_faults(r.fabric, o->lose, o->repeat);
+    wait_for_fabric(&r);
     rc = open_all(&r);
     if (rc < 0) {
         fprintf(stderr, "si_caller: a client's socket can't be opened: %s\n",
@@ -398,10 +399,11 @@
     o->platform = a->platform->sval[0];
     o->run_ms = (ms_t)si_option_int(a->seconds, 10) * 1000;
     o->grace_ms = si_option_int(a->grace, 20000);
-    o->params.every_ms = si_option_int(a->every, (int)o->params.every_ms);
+    o->params.interval_ms =
+        si_option_int(a->every, (int)o->params.interval_ms);
     o->params.ack_ms = si_option_int(a->ack, (int)o->params.ack_ms);
-    o->params.silence_ms =
-        si_option_int(a->silence, (int)o->params.silence_ms);
+    o->params.silence_timeout_ms =
+        si_option_int(a->silence, (int)o->params.silence_timeout_ms);
     o->params.blocks =
         (uint32_t)si_option_int(a->blocks, (int)o->params.blocks);
     o->seed = (uint64_t)si_option_int(a->seed, 1);
--- a/standin/client.c
+++ b/standin/client.c
@@ -8,7 +8,7 @@
 
 #define ID_LEN 40
 #define TEXT_LEN 320
-#define ECHO_LOST_MAX                                                         \
+#define ECHOES_LOST_MAX                                                       \
     5 /* consecutive lost datagrams that count as a broken flow */
 #define RETRY_MS 200 /* delay before an interrupted feed registers again */
 
@@ -25,16 +25,16 @@
     char id[ID_LEN];
     uint8_t bytes[DATAGRAM_MAX];
     size_t len;
-    int tries;
-    ms_t first_at, again_at;
-    ms_t span;  /* retransmission timeout */
-    bool acked; /* by an empty ACK: the answer comes separately */
+    int transmissions;
+    ms_t sent_at, retransmit_at;
+    ms_t timeout_ms; /* retransmission timeout */
+    bool acked;      /* by an empty ACK: the answer comes separately */
 } pending_t;
 
 struct si_client {
     si_client_params_t params;
     si_client_out_t out;
-    si_tally_t *tally;
+    si_client_stats_t *stats;
     rng_t rng;
     pending_t pending;
     ms_t next_at; /* time of the next request */
@@ -45,10 +45,10 @@
     bool open; /* a feed is established */
     uint8_t feed_token_len;
     uint8_t feed_token[COAP_TOKEN_MAX];
-    ms_t heard_at;
+    ms_t last_received_at;
     uint32_t block;     /* next block of the upload */
     char upstream[100]; /* source of the last echo: address and epoch */
-    int lost;           /* consecutive lost echoes */
+    int echoes_lost;    /* consecutive lost echoes */
 };
 
 static void
@@ -64,7 +64,7 @@
 {
     char line[TEXT_LEN], self[ADDR_STRLEN];
 
-    c->tally->broken++;
+    c->stats->broken++;
     snprintf(line, sizeof(line), "broken kind=%s client=%s why=%s",
              si_kind_names[c->params.kind], addr_text(&c->params.self, self),
              why);
@@ -76,7 +76,7 @@
 {
     char line[TEXT_LEN], self[ADDR_STRLEN];
 
-    c->tally->crossed++;
+    c->stats->crossed++;
     snprintf(line, sizeof(line), "crossed client=%s want=%s got=%.150s",
              addr_text(&c->params.self, self), want, got);
     log_text(c, line);
@@ -113,7 +113,7 @@
 }
 
 static void
-begin(si_client_t *c, ms_t now, const coap_msg_t *m)
+send_request(si_client_t *c, ms_t now, const coap_msg_t *m)
 {
     pending_t *p = &c->pending;
     int n = coap_encode(p->bytes, sizeof(p->bytes), m);
@@ -125,13 +125,13 @@
     p->acked = false;
     p->msg = *m;
     p->len = (size_t)n;
-    p->tries = 1;
-    p->first_at = now;
+    p->transmissions = 1;
+    p->sent_at = now;
     /* ACK_RANDOM_FACTOR 1.5 */
-    p->span = c->params.ack_ms +
-              rng_below(&c->rng, (uint32_t)c->params.ack_ms / 2 + 1);
-    p->again_at = now + p->span;
-    c->tally->sent++;
+    p->timeout_ms = c->params.ack_ms +
+                    rng_below(&c->rng, (uint32_t)c->params.ack_ms / 2 + 1);
+    p->retransmit_at = now + p->timeout_ms;
+    c->stats->sent++;
     c->out.send(c->out.arg, p->bytes, p->len);
 }
 
@@ -142,27 +142,27 @@
 }
 
 static void
-begin_feed(si_client_t *c, ms_t now)
+send_feed(si_client_t *c, ms_t now)
 {
     coap_msg_t m = new_request(c, COAP_GET, "feed");
 
     m.observe = 0;
-    begin(c, now, &m);
+    send_request(c, now, &m);
 }
 
 static void
-begin_post(si_client_t *c, ms_t now)
+send_post(si_client_t *c, ms_t now)
 {
     coap_msg_t m = new_request(c, COAP_POST, "ack");
 
     new_id(c);
     m.payload = (const uint8_t *)c->pending.id;
     m.payload_len = strlen(c->pending.id);
-    begin(c, now, &m);
+    send_request(c, now, &m);
 }
 
 static void
-begin_block(si_client_t *c, ms_t now)
+send_block(si_client_t *c, ms_t now)
 {
     coap_msg_t m = new_request(c, COAP_POST, "archive");
     bool more = c->block + 1 < c->params.blocks;
@@ -174,19 +174,19 @@
     m.block1 = c->block << 4 | (more ? 8 : 0) | SI_BLOCK_SZX;
     m.payload = data;
     m.payload_len = sizeof(data);
-    begin(c, now, &m);
+    send_request(c, now, &m);
 }
 
 static void
-begin_read(si_client_t *c, ms_t now)
+send_read(si_client_t *c, ms_t now)
 {
     coap_msg_t m = new_request(c, COAP_GET, "state");
 
-    begin(c, now, &m);
+    send_request(c, now, &m);
 }
 
 static void
-begin_echo(si_client_t *c, ms_t now)
+send_echo(si_client_t *c, ms_t now)
 {
     pending_t *p = &c->pending;
 
@@ -194,31 +194,31 @@
     p->active = true;
     p->len = strlen(p->id);
     memcpy(p->bytes, p->id, p->len);
-    p->first_at = now;
-    p->again_at = now + c->params.ack_ms;
-    p->tries = SI_RETRANSMITS + 1; /* opaque: not retransmitted */
-    c->tally->sent++;
+    p->sent_at = now;
+    p->retransmit_at = now + c->params.ack_ms;
+    p->transmissions = SI_RETRANSMITS + 1; /* opaque: not retransmitted */
+    c->stats->sent++;
     c->out.send(c->out.arg, p->bytes, p->len);
 }
 
 static void
-begin_next(si_client_t *c, ms_t now)
+send_next(si_client_t *c, ms_t now)
 {
     switch (c->params.kind) {
     case SI_FEED:
-        begin_feed(c, now);
+        send_feed(c, now);
         break;
     case SI_POST:
-        begin_post(c, now);
+        send_post(c, now);
         break;
     case SI_UPLOAD:
-        begin_block(c, now);
+        send_block(c, now);
         break;
     case SI_READ:
-        begin_read(c, now);
+        send_read(c, now);
         break;
     case SI_ECHO:
-        begin_echo(c, now);
+        send_echo(c, now);
         break;
     case SI_KINDS:
         break;
@@ -233,9 +233,9 @@
     char line[TEXT_LEN], self[ADDR_STRLEN];
     const pending_t *p = &c->pending;
 
-    c->tally->outcome[o]++;
+    c->stats->outcome[o]++;
     if (o == SI_ANSWERED) {
-        hist_add(&c->tally->ms, (uint64_t)(now - p->first_at));
+        hist_add(&c->stats->ms, (uint64_t)(now - p->sent_at));
     }
     if (c->params.kind != SI_POST && c->params.kind != SI_UPLOAD) {
         return;
@@ -244,8 +244,8 @@
         line, sizeof(line),
         "post id=%s outcome=%s kind=%s client=%s mid=%u copies=%d ms=%lld",
         p->id, si_outcome_names[o], si_kind_names[c->params.kind],
-        addr_text(&c->params.self, self), p->msg.mid, p->tries,
-        (long long)(now - p->first_at));
+        addr_text(&c->params.self, self), p->msg.mid, p->transmissions,
+        (long long)(now - p->sent_at));
     log_text(c, line);
 }
 
@@ -254,21 +254,21 @@
 {
     char line[TEXT_LEN], self[ADDR_STRLEN];
 
-    c->tally->established++;
+    c->stats->established++;
     snprintf(line, sizeof(line), "feed established client=%s",
              addr_text(&c->params.self, self));
     log_text(c, line);
 }
 
 static void
-feed_ended(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
+on_feed_outcome(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
 {
     c->next_at = now + (o == SI_ANSWERED ? 0 : RETRY_MS);
     if (o != SI_ANSWERED || m == NULL || m->observe == COAP_NONE) {
         return;
     }
     c->open = true;
-    c->heard_at = now;
+    c->last_received_at = now;
     c->feed_token_len = m->token_len;
     memcpy(c->feed_token, m->token, m->token_len);
     log_established(c);
@@ -279,7 +279,7 @@
 {
     char line[TEXT_LEN], self[ADDR_STRLEN];
 
-    c->tally->uploaded++;
+    c->stats->uploaded++;
     snprintf(line, sizeof(line), "uploaded client=%s bytes=%u",
              addr_text(&c->params.self, self),
              c->params.blocks * SI_BLOCK_LEN);
@@ -288,7 +288,8 @@
 
 /* Handles the outcome of a block. */
 static void
-upload_ended(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
+on_upload_outcome(si_client_t *c, ms_t now, si_outcome_t o,
+                  const coap_msg_t *m)
 {
     c->next_at = now;
     if (o == SI_ANSWERED && m->code == COAP_CONTINUE) {
@@ -296,10 +297,10 @@
         return;
     }
     if (o == SI_REFUSED) { /* send the same block again later */
-        c->next_at = now + c->params.every_ms;
+        c->next_at = now + c->params.interval_ms;
         return;
     }
-    c->next_at = now + c->params.every_ms;
+    c->next_at = now + c->params.interval_ms;
     c->block = 0;
     if (o == SI_ANSWERED) {
         log_uploaded(c);
@@ -309,20 +310,20 @@
 }
 
 static void
-echo_ended(si_client_t *c, si_outcome_t o)
+on_echo_outcome(si_client_t *c, si_outcome_t o)
 {
-    c->lost = o == SI_TIMEOUT ? c->lost + 1 : 0;
-    if (c->lost == ECHO_LOST_MAX) {
-        c->lost = 0;
+    c->echoes_lost = o == SI_TIMEOUT ? c->echoes_lost + 1 : 0;
+    if (c->echoes_lost == ECHOES_LOST_MAX) {
+        c->echoes_lost = 0;
         log_broken(c, "silent");
     }
 }
 
 /* Ends the pending request with outcome O; M is the answer, or NULL. */
 static void
-ended(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
+end_request(si_client_t *c, ms_t now, si_outcome_t o, const coap_msg_t *m)
 {
-    ms_t wait = c->params.every_ms;
+    ms_t wait = c->params.interval_ms;
 
     log_outcome(c, now, o);
     c->pending.active = false;
@@ -331,13 +332,13 @@
     }
     c->next_at = now + wait;
     if (c->params.kind == SI_FEED) {
-        feed_ended(c, now, o, m);
+        on_feed_outcome(c, now, o, m);
     }
     else if (c->params.kind == SI_UPLOAD) {
-        upload_ended(c, now, o, m);
+        on_upload_outcome(c, now, o, m);
     }
     else if (c->params.kind == SI_ECHO) {
-        echo_ended(c, o);
+        on_echo_outcome(c, o);
     }
     if (o == SI_REFUSED) {
         c->next_at = now + wait;
@@ -348,7 +349,7 @@
 
 /* Copies the value of KEY ("key=") in a text of "k=v k=v" fields. */
 static void
-field(char *out, size_t cap, const char *text, const char *key)
+copy_field(char *out, size_t cap, const char *text, const char *key)
 {
     size_t n = strlen(key), len;
     const char *p = text;
@@ -377,17 +378,17 @@
 
     memcpy(text, m->payload != NULL ? (const char *)m->payload : "", n);
     text[n] = '\0';
-    field(got, sizeof(got), text, "client=");
+    copy_field(got, sizeof(got), text, "client=");
     if (strcmp(got, addr_text(&c->params.self, want)) != 0) {
         log_crossed(c, want, text);
         return;
     }
-    field(got, sizeof(got), text, "service=");
+    copy_field(got, sizeof(got), text, "service=");
     if (strcmp(got, addr_text(&c->params.service, want)) != 0) {
         log_crossed(c, want, text);
         return;
     }
-    field(id, sizeof(id), text, "id=");
+    copy_field(id, sizeof(id), text, "id=");
     if (want_id != NULL && strcmp(id, want_id) != 0) {
         log_crossed(c, want_id, text);
     }
@@ -417,24 +418,25 @@
 on_answer(si_client_t *c, ms_t now, const coap_msg_t *m)
 {
     si_outcome_t o = outcome_of(m->code);
-    char whole[ID_LEN];
+    char received[ID_LEN];
     const char *want = NULL;
 
     if (c->params.kind == SI_POST) {
         want = c->pending.id;
     }
     if (c->params.kind == SI_UPLOAD) { /* the bytes received so far */
-        snprintf(whole, sizeof(whole), "%u", (c->block + 1) * SI_BLOCK_LEN);
-        want = whole;
+        snprintf(received, sizeof(received), "%u",
+                 (c->block + 1) * SI_BLOCK_LEN);
+        want = received;
     }
     if (o == SI_ANSWERED) {
         check_own(c, m, want);
     }
-    ended(c, now, o, m);
+    end_request(c, now, o, m);
 }
 
 static void
-feed_cut(si_client_t *c, ms_t now, const char *why)
+break_feed(si_client_t *c, ms_t now, const char *why)
 {
     c->open = false;
     c->next_at = now + RETRY_MS;
@@ -442,7 +444,7 @@
 }
 
 static bool
-of_feed(const si_client_t *c, const coap_msg_t *m)
+matches_feed(const si_client_t *c, const coap_msg_t *m)
 {
     return c->open && m->token_len == c->feed_token_len &&
            memcmp(m->token, c->feed_token, m->token_len) == 0;
@@ -455,12 +457,12 @@
         send_empty(c, COAP_T_ACK, m->mid);
     }
     if (m->code >> 5 != 2) {
-        feed_cut(c, now, si_outcome_names[outcome_of(m->code)]);
+        break_feed(c, now, si_outcome_names[outcome_of(m->code)]);
         return;
     }
-    c->heard_at = now;
+    c->last_received_at = now;
     if (m->observe != COAP_NONE) {
-        c->tally->notified++;
+        c->stats->notified++;
         check_own(c, m, NULL);
     }
 }
@@ -474,10 +476,10 @@
         c->pending.acked = true;
     }
     else if (m->type == COAP_T_RST && mine) {
-        ended(c, now, SI_OTHER, NULL);
+        end_request(c, now, SI_OTHER, NULL);
     }
     else if (m->type == COAP_T_RST && c->open) {
-        feed_cut(c, now, "reset");
+        break_feed(c, now, "reset");
     }
     else if (m->type == COAP_T_CON) { /* a ping, RFC 7252 4.3 */
         send_empty(c, COAP_T_RST, m->mid);
@@ -485,7 +487,7 @@
 }
 
 static bool
-of_pending(const si_client_t *c, const coap_msg_t *m)
+matches_pending(const si_client_t *c, const coap_msg_t *m)
 {
     const pending_t *p = &c->pending;
 
@@ -499,14 +501,14 @@
 static void
 on_response(si_client_t *c, ms_t now, const coap_msg_t *m)
 {
-    if (of_pending(c, m)) {
+    if (matches_pending(c, m)) {
         if (m->type == COAP_T_CON) {
             send_empty(c, COAP_T_ACK, m->mid);
         }
         on_answer(c, now, m);
         return;
     }
-    if (of_feed(c, m)) {
+    if (matches_feed(c, m)) {
         on_notification(c, now, m);
         return;
     }
@@ -520,7 +522,7 @@
 static void
 on_echo(si_client_t *c, ms_t now, const uint8_t *data, size_t len)
 {
-    char text[TEXT_LEN], upstream[64], epoch[16], who[100];
+    char text[TEXT_LEN], upstream[64], epoch[16], source[100];
     size_t n = len < TEXT_LEN ? len : TEXT_LEN - 1;
     const char *id;
 
@@ -531,14 +533,14 @@
         strcmp(id + 1, c->pending.id) != 0) {
         return; /* belongs to an earlier request */
     }
-    field(upstream, sizeof(upstream), text, "upstream=");
-    field(epoch, sizeof(epoch), text, "epoch=");
-    snprintf(who, sizeof(who), "%s/%s", upstream, epoch);
-    if (c->upstream[0] != '\0' && strcmp(who, c->upstream) != 0) {
+    copy_field(upstream, sizeof(upstream), text, "upstream=");
+    copy_field(epoch, sizeof(epoch), text, "epoch=");
+    snprintf(source, sizeof(source), "%s/%s", upstream, epoch);
+    if (c->upstream[0] != '\0' && strcmp(source, c->upstream) != 0) {
         log_broken(c, "moved");
     }
-    memcpy(c->upstream, who, sizeof(who));
-    ended(c, now, SI_ANSWERED, NULL);
+    memcpy(c->upstream, source, sizeof(source));
+    end_request(c, now, SI_ANSWERED, NULL);
 }
 
 void
@@ -569,31 +571,31 @@
 {
     pending_t *p = &c->pending;
 
-    if (p->tries > SI_RETRANSMITS) {
-        ended(c, now, SI_TIMEOUT, NULL);
+    if (p->transmissions > SI_RETRANSMITS) {
+        end_request(c, now, SI_TIMEOUT, NULL);
         return;
     }
-    p->span *= 2;
-    p->again_at = now + p->span;
-    p->tries++;
+    p->timeout_ms *= 2;
+    p->retransmit_at = now + p->timeout_ms;
+    p->transmissions++;
     if (p->acked) {
         return; /* the request arrived; only wait for the answer */
     }
-    c->tally->retransmitted++;
+    c->stats->retransmitted++;
     c->out.send(c->out.arg, p->bytes, p->len);
 }
 
 void
 si_client_tick(si_client_t *c, ms_t now)
 {
-    if (c->pending.active && now >= c->pending.again_at) {
+    if (c->pending.active && now >= c->pending.retransmit_at) {
         retransmit(c, now);
     }
-    if (c->open && now - c->heard_at > c->params.silence_ms) {
-        feed_cut(c, now, "silent");
+    if (c->open && now - c->last_received_at > c->params.silence_timeout_ms) {
+        break_feed(c, now, "silent");
     }
     if (!c->pending.active && !c->open && !c->stopping && now >= c->next_at) {
-        begin_next(c, now);
+        send_next(c, now);
     }
 }
 
@@ -630,16 +632,16 @@
 }
 
 void
-si_client_give_up(si_client_t *c, ms_t now)
+si_client_abort(si_client_t *c, ms_t now)
 {
     if (c->pending.active) {
-        ended(c, now, SI_TIMEOUT, NULL);
+        end_request(c, now, SI_TIMEOUT, NULL);
     }
 }
 
 si_client_t *
 si_client_new(const si_client_params_t *p, const si_client_out_t *out,
-              si_tally_t *tally, ms_t now)
+              si_client_stats_t *stats, ms_t now)
 {
     si_client_t *c = calloc(1, sizeof(*c));
 
@@ -648,12 +650,12 @@
     }
     c->params = *p;
     c->out = *out;
-    c->tally = tally;
+    c->stats = stats;
     c->rng = (rng_t){.seed = p->seed};
     c->mid = (uint16_t)rng_next(&c->rng);
     c->token = (uint32_t)rng_next(&c->rng);
     /* Random delay so that the clients don't all start at once. */
-    c->next_at = now + rng_below(&c->rng, (uint32_t)p->every_ms + 1);
+    c->next_at = now + rng_below(&c->rng, (uint32_t)p->interval_ms + 1);
     return c;
 }
 
--- a/standin/client.h
+++ b/standin/client.h
@@ -53,22 +53,23 @@
     uint64_t broken;  /* interrupted feeds, uploads and echo flows */
     uint64_t crossed; /* answers that belong to another request */
     hist_t ms;        /* latency from request to answer */
-} si_tally_t;
+} si_client_stats_t;
 
 typedef struct {
     si_kind_t kind;
     addr_t service, self;
-    char name[16];   /* prefix of the payload IDs */
-    ms_t ack_ms;     /* ACK_TIMEOUT */
-    ms_t every_ms;   /* from one answer to the next request */
-    ms_t silence_ms; /* a feed without traffic for longer is broken */
-    uint32_t blocks; /* of an upload */
+    char name[16];           /* prefix of the payload IDs */
+    ms_t ack_ms;             /* ACK_TIMEOUT */
+    ms_t interval_ms;        /* from one answer to the next request */
+    ms_t silence_timeout_ms; /* a feed without traffic for longer is broken */
+    uint32_t blocks;         /* of an upload */
     uint64_t seed;
 } si_client_params_t;
 
 #define SI_CLIENT_PARAMS                                                      \
     {                                                                         \
-        .ack_ms = 2000, .every_ms = 500, .silence_ms = 10000, .blocks = 8     \
+        .ack_ms = 2000, .interval_ms = 500, .silence_timeout_ms = 10000,      \
+        .blocks = 8                                                           \
     }
 
 typedef struct {
@@ -80,8 +81,8 @@
 typedef struct si_client si_client_t;
 
 si_client_t *si_client_new(const si_client_params_t *p,
-                           const si_client_out_t *out, si_tally_t *tally,
-                           ms_t now);
+                           const si_client_out_t *out,
+                           si_client_stats_t *stats, ms_t now);
 void si_client_free(si_client_t *c);
 void si_client_receive(si_client_t *c, ms_t now, const uint8_t *data,
                        size_t len);
@@ -91,7 +92,7 @@
 /* True when no request is pending. */
 bool si_client_idle(const si_client_t *c);
 /* Ends the pending request with a timeout. */
-void si_client_give_up(si_client_t *c, ms_t now);
+void si_client_abort(si_client_t *c, ms_t now);
 
 #ifdef __cplusplus
 }
--- a/standin/conns.c
+++ b/standin/conns.c
@@ -7,7 +7,7 @@
 struct si_conn {
     si_conn_t *next;
     addr_t client;
-    ms_t seen;
+    ms_t last_seen_at;
 };
 
 static si_conn_t **
@@ -44,7 +44,7 @@
 }
 
 bool
-si_conns_touch(si_conns_t *cs, ms_t now, const addr_t *client, bool add)
+si_conns_update(si_conns_t *cs, ms_t now, const addr_t *client, bool add)
 {
     si_conn_t *c = conn_find(cs, client);
 
@@ -54,18 +54,18 @@
     if (c == NULL) {
         return false;
     }
-    c->seen = now;
+    c->last_seen_at = now;
     return true;
 }
 
 void
-si_conns_sweep(si_conns_t *cs, ms_t then)
+si_conns_expire(si_conns_t *cs, ms_t limit)
 {
     for (int i = 0; i < SI_CONN_BUCKETS; i++) {
         si_conn_t **p = &cs->bucket[i];
         while (*p != NULL) {
             si_conn_t *c = *p;
-            if (c->seen >= then) {
+            if (c->last_seen_at >= limit) {
                 p = &c->next;
                 continue;
             }
--- a/standin/conns.h
+++ b/standin/conns.h
@@ -21,9 +21,9 @@
 
 /* Sets CLIENT's last-seen time to NOW.  With ADD, inserts an unknown client.
  * False when the client is unknown and not added, or memory is exhausted. */
-bool si_conns_touch(si_conns_t *cs, ms_t now, const addr_t *client, bool add);
-/* Removes the clients last seen before THEN. */
-void si_conns_sweep(si_conns_t *cs, ms_t then);
+bool si_conns_update(si_conns_t *cs, ms_t now, const addr_t *client, bool add);
+/* Removes the clients last seen before LIMIT. */
+void si_conns_expire(si_conns_t *cs, ms_t limit);
 
 #ifdef __cplusplus
 }
--- a/standin/exchanges.h
+++ b/standin/exchanges.h
@@ -18,8 +18,8 @@
     SI_EX_QUEUED,
     SI_EX_RUNNING,
     SI_EX_DONE,
-    SI_EX_REFUSED, /* shed, or past its deadline: never starts */
-    SI_EX_BARRED   /* cancelled before it started: never starts */
+    SI_EX_REFUSED,  /* shed, or past its deadline: never starts */
+    SI_EX_CANCELLED /* cancelled before it started: never starts */
 } si_ex_state_t;
 
 typedef struct si_exchange si_exchange_t;
@@ -30,7 +30,7 @@
     spp_t header;
     uint16_t mid;
     si_ex_state_t state;
-    char by[20]; /* the instance that cancelled first */
+    char cancelled_by[20]; /* the instance that cancelled first */
     addr_t from; /* source of the latest copy; destination of the answer */
     ms_t at, deadline, done_at;
     uint8_t *request, *answer; /* the answer includes its proxy header */
--- a/standin/fabric.c
+++ b/standin/fabric.c
@@ -56,7 +56,7 @@
 }
 
 static const char *
-text_of(const json_t *o, const char *key)
+string_field(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
 
@@ -82,13 +82,13 @@
             break;
         }
         *t = (si_target_t){0};
-        if (addr_parse(&t->return_addr, text_of(o, "return")) < 0) {
+        if (addr_parse(&t->return_addr, string_field(o, "return")) < 0) {
             continue;
         }
-        snprintf(t->name, sizeof(t->name), "%s", text_of(o, "name"));
+        snprintf(t->name, sizeof(t->name), "%s", string_field(o, "name"));
         snprintf(t->service_ip, sizeof(t->service_ip), "%s",
-                 text_of(o, "service_ip"));
-        t->leaving = strcmp(text_of(o, "state"), "leaving") == 0;
+                 string_field(o, "service_ip"));
+        t->leaving = strcmp(string_field(o, "state"), "leaving") == 0;
         n++;
     }
     json_decref(top);
@@ -142,7 +142,7 @@
 
 /* Waits for the poll interval; false when the fabric is being closed. */
 static bool
-wait_poll(si_fabric_t *f)
+wait_for_poll(si_fabric_t *f)
 {
     struct timespec until;
     bool go;
@@ -175,7 +175,7 @@
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     do {
         poll_once(f, curl);
-    } while (wait_poll(f));
+    } while (wait_for_poll(f));
     curl_easy_cleanup(curl);
     return NULL;
 }
@@ -222,7 +222,7 @@
 }
 
 void
-si_fabric_faults(si_fabric_t *f, int lose, int repeat)
+si_fabric_set_faults(si_fabric_t *f, int lose, int repeat)
 {
     pthread_mutex_lock(&f->lock);
     f->lose = lose;
@@ -245,7 +245,7 @@
 }
 
 static size_t
-count_staying(const si_fabric_t *f)
+count_active(const si_fabric_t *f)
 {
     size_t n = 0;
 
@@ -258,17 +258,17 @@
 bool
 si_fabric_pick(si_fabric_t *f, si_target_t *out)
 {
-    size_t staying, k;
+    size_t active, k;
 
     pthread_mutex_lock(&f->lock);
     if (f->n == 0) {
         pthread_mutex_unlock(&f->lock);
         return false;
     }
-    staying = count_staying(f);
-    k = rng_below(&f->rng, (uint32_t)(staying ? staying : f->n));
+    active = count_active(f);
+    k = rng_below(&f->rng, (uint32_t)(active ? active : f->n));
     for (size_t i = 0; i < f->n; i++) {
-        if (staying > 0 && f->list[i].leaving) {
+        if (active > 0 && f->list[i].leaving) {
             continue;
         }
         if (k-- == 0) {
--- a/standin/fabric.h
+++ b/standin/fabric.h
@@ -36,7 +36,7 @@
 int si_fabric_parse(const char *json, si_target_t *out, size_t cap);
 
 /* Sets the percentages of datagrams that are lost and delivered twice. */
-void si_fabric_faults(si_fabric_t *f, int lose, int repeat);
+void si_fabric_set_faults(si_fabric_t *f, int lose, int repeat);
 /* The number of copies to deliver of the next datagram: 0, 1 or 2. */
 int si_fabric_copies(si_fabric_t *f);
 
--- a/standin/feeds.c
+++ b/standin/feeds.c
@@ -67,7 +67,7 @@
     f->header = *header;
     f->from = *from;
     f->next_at = now + fs->period_ms;
-    f->con_tries = 0;
+    f->con_transmissions = 0;
     return true;
 }
 
@@ -82,17 +82,17 @@
 }
 
 void
-si_feeds_answered(si_feeds_t *fs, const addr_t *client, const coap_msg_t *m)
+si_feeds_on_empty(si_feeds_t *fs, const addr_t *client, const coap_msg_t *m)
 {
     LIST_EACH (it, &fs->list) {
         si_feed_t *f = CONTAINER_OF(it, si_feed_t, link);
-        bool con = f->con_tries > 0 && f->con_mid == m->mid;
+        bool con = f->con_transmissions > 0 && f->con_mid == m->mid;
 
         if (!addr_eq(&f->header.client, client)) {
             continue;
         }
         if (m->type == COAP_T_ACK && con) {
-            f->con_tries = 0;
+            f->con_transmissions = 0;
         }
         if (m->type == COAP_T_RST && (con || f->last_mid == m->mid)) {
             feed_remove(fs, f);
@@ -101,8 +101,8 @@
 }
 
 static void
-send_one(const si_feed_t *f, coap_type_t type, uint16_t mid,
-         si_notify_t *notify, void *arg)
+send_notification(const si_feed_t *f, coap_type_t type, uint16_t mid,
+                  si_notify_t *notify, void *arg)
 {
     coap_msg_t m = COAP_MSG_INIT;
 
@@ -124,31 +124,32 @@
     f->sent++;
     f->next_at = now + fs->period_ms;
     con = fs->con_every > 0 && f->sent % (uint32_t)fs->con_every == 0 &&
-          f->con_tries == 0;
+          f->con_transmissions == 0;
     f->last_mid = fs->mid++;
     if (con) {
         f->con_mid = f->last_mid;
-        f->con_tries = 1;
-        f->con_at = now + fs->ack_ms;
+        f->con_transmissions = 1;
+        f->con_retransmit_at = now + fs->ack_ms;
     }
     fs->notified++;
-    send_one(f, con ? COAP_T_CON : COAP_T_NON, f->last_mid, notify, arg);
+    send_notification(f, con ? COAP_T_CON : COAP_T_NON, f->last_mid, notify,
+                      arg);
 }
 
 /* Retransmits a notification.  False when the feed has been removed because no
  * ACK arrived. */
 static bool
-resend_due(si_feeds_t *fs, si_feed_t *f, ms_t now, si_notify_t *notify,
-           void *arg)
+retransmit_due(si_feeds_t *fs, si_feed_t *f, ms_t now, si_notify_t *notify,
+               void *arg)
 {
-    if (f->con_tries > SI_RETRANSMITS) {
+    if (f->con_transmissions > SI_RETRANSMITS) {
         fs->lost++;
         feed_remove(fs, f);
         return false;
     }
-    f->con_at = now + (fs->ack_ms << f->con_tries);
-    f->con_tries++;
-    send_one(f, COAP_T_CON, f->con_mid, notify, arg);
+    f->con_retransmit_at = now + (fs->ack_ms << f->con_transmissions);
+    f->con_transmissions++;
+    send_notification(f, COAP_T_CON, f->con_mid, notify, arg);
     return true;
 }
 
@@ -158,8 +159,8 @@
     LIST_EACH (it, &fs->list) {
         si_feed_t *f = CONTAINER_OF(it, si_feed_t, link);
 
-        if (f->con_tries > 0 && now >= f->con_at &&
-            !resend_due(fs, f, now, notify, arg)) {
+        if (f->con_transmissions > 0 && now >= f->con_retransmit_at &&
+            !retransmit_due(fs, f, now, notify, arg)) {
             continue;
         }
         if (now >= f->next_at) {
--- a/standin/feeds.h
+++ b/standin/feeds.h
@@ -22,9 +22,9 @@
     uint32_t sent; /* notifications; the Observe value */
     ms_t next_at;
     uint16_t last_mid;
-    uint16_t con_mid; /* of the unacknowledged notification */
-    int con_tries;    /* transmissions of it; 0: none pending */
-    ms_t con_at;      /* time of its next retransmission */
+    uint16_t con_mid;       /* of the unacknowledged notification */
+    int con_transmissions;  /* transmissions of it; 0: none pending */
+    ms_t con_retransmit_at; /* time of its next retransmission */
 } si_feed_t;
 
 typedef struct {
@@ -50,7 +50,7 @@
 void si_feeds_remove(si_feeds_t *fs, const addr_t *client,
                      const coap_msg_t *reg);
 /* Handles an empty ACK or RST from a client. */
-void si_feeds_answered(si_feeds_t *fs, const addr_t *client,
+void si_feeds_on_empty(si_feeds_t *fs, const addr_t *client,
                        const coap_msg_t *m);
 void si_feeds_tick(si_feeds_t *fs, ms_t now, si_notify_t *notify, void *arg);
 
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -33,13 +33,13 @@
 /* A key with its value and its previous value (for stale reads). */
 typedef struct {
     char key[NAME_MAX_LEN];
-    char *value, *before;
+    char *value, *previous;
     uint64_t revision;
 } kv_t;
 
 typedef struct {
     char name[NAME_MAX_LEN], owner[NAME_MAX_LEN];
-    ms_t until;
+    ms_t expires_at;
 } lease_t;
 
 /* An instance with its last registration. */
@@ -47,7 +47,7 @@
     char name[NAME_MAX_LEN];
     json_t *record;
     ms_t renewed_at;
-} reg_t;
+} registration_t;
 
 /* A change not yet visible in the list; RECORD is NULL for a removal. */
 typedef struct {
@@ -68,14 +68,14 @@
     size_t n_kv;
     lease_t lease[LEASES_MAX];
     size_t n_lease;
-    reg_t reg[INSTANCES_MAX];
+    registration_t reg[INSTANCES_MAX];
     size_t n_reg;
     event_t event[EVENTS_MAX];
     size_t n_event;
     json_t *listed; /* the delayed list: name to record */
 };
 
-static const si_reply_t cut = {.status = 0};
+static const si_reply_t no_answer = {.status = 0};
 
 static si_reply_t
 reply(int status, json_t *body)
@@ -90,7 +90,7 @@
     if (p->lose_answers > 0) {
         p->lose_answers--;
         json_decref(body);
-        return cut;
+        return no_answer;
     }
     return reply(status, body);
 }
@@ -126,23 +126,23 @@
 static void
 kv_wait(si_platform_t *p, const char *key, ms_t wait, uint64_t after)
 {
-    struct timespec until;
+    struct timespec deadline;
     kv_t *kv;
 
     wait = wait > WAIT_MAX_MS ? WAIT_MAX_MS : wait;
-    clock_gettime(CLOCK_MONOTONIC, &until);
-    until.tv_sec += wait / 1000;
-    until.tv_nsec += wait % 1000 * 1000000;
-    if (until.tv_nsec >= 1000000000) {
-        until.tv_sec++;
-        until.tv_nsec -= 1000000000;
+    clock_gettime(CLOCK_MONOTONIC, &deadline);
+    deadline.tv_sec += wait / 1000;
+    deadline.tv_nsec += wait % 1000 * 1000000;
+    if (deadline.tv_nsec >= 1000000000) {
+        deadline.tv_sec++;
+        deadline.tv_nsec -= 1000000000;
     }
     while (!p->stopping && !p->outage) {
         kv = kv_find(p, key);
         if (kv != NULL && kv->revision > after) {
             return;
         }
-        if (pthread_cond_timedwait(&p->changed, &p->lock, &until) != 0) {
+        if (pthread_cond_timedwait(&p->changed, &p->lock, &deadline) != 0) {
             return;
         }
     }
@@ -158,16 +158,16 @@
         kv_wait(p, key, wait, (uint64_t)si_query_int(r, "after", 0));
     }
     if (p->outage || p->stopping) {
-        return cut;
+        return no_answer;
     }
     kv = kv_find(p, key);
     if (kv == NULL) {
         return reply(404, json_pack("{sI}", "revision", (json_int_t)0));
     }
-    if (p->stale_reads > 0 && kv->before != NULL) {
+    if (p->stale_reads > 0 && kv->previous != NULL) {
         p->stale_reads--;
-        return reply(200, json_pack("{sssI}", "value", kv->before, "revision",
-                                    (json_int_t)kv->revision - 1));
+        return reply(200, json_pack("{sssI}", "value", kv->previous,
+                                    "revision", (json_int_t)kv->revision - 1));
     }
     return reply(200, json_pack("{sssI}", "value", kv->value, "revision",
                                 (json_int_t)kv->revision));
@@ -186,8 +186,8 @@
     if (kv == NULL && (kv = kv_add(p, key)) == NULL) {
         return si_reply_error(507, "no room for another key");
     }
-    free(kv->before);
-    kv->before = kv->value;
+    free(kv->previous);
+    kv->previous = kv->value;
     kv->value = strdup(r->body);
     kv->revision++;
     pthread_cond_broadcast(&p->changed);
@@ -217,7 +217,7 @@
 lease_call(si_platform_t *p, const si_request_t *r, const char *name)
 {
     const char *owner = si_query(r, "owner");
-    ms_t span = si_query_int(r, "ms", 0);
+    ms_t duration_ms = si_query_int(r, "ms", 0);
     lease_t *l = lease_find(p, name);
     ms_t now = clock_now();
     bool held;
@@ -225,7 +225,7 @@
     if (l == NULL || owner == NULL || *owner == '\0') {
         return si_reply_error(400, "a lease needs a name and owner=");
     }
-    held = l->owner[0] != '\0' && l->until > now;
+    held = l->owner[0] != '\0' && l->expires_at > now;
     if (held && strcmp(l->owner, owner) != 0) {
         return reply(409, json_pack("{ss}", "owner", l->owner));
     }
@@ -234,9 +234,10 @@
         return write_reply(p, 200, json_object());
     }
     snprintf(l->owner, sizeof(l->owner), "%s", owner);
-    l->until = now + span;
+    l->expires_at = now + duration_ms;
     return write_reply(
-        p, 200, json_pack("{sssI}", "owner", owner, "ms", (json_int_t)span));
+        p, 200,
+        json_pack("{sssI}", "owner", owner, "ms", (json_int_t)duration_ms));
 }
 
 /* ---- Instances ---- */
@@ -256,7 +257,7 @@
 }
 
 static void
-reg_remove(si_platform_t *p, reg_t *g, ms_t at)
+reg_remove(si_platform_t *p, registration_t *g, ms_t at)
 {
     event_add(p, at, g->name, NULL);
     json_decref(g->record);
@@ -279,7 +280,7 @@
     }
 }
 
-static reg_t *
+static registration_t *
 reg_find(si_platform_t *p, const char *name)
 {
     for (size_t i = 0; i < p->n_reg; i++) {
@@ -333,7 +334,7 @@
     json_t *record = json_loadb(r->body, r->body_len, 0, NULL);
     const char *name = json_string_value(json_object_get(record, "name"));
     ms_t now = clock_now();
-    reg_t *g;
+    registration_t *g;
 
     if (name == NULL || strlen(name) >= NAME_MAX_LEN) {
         json_decref(record);
@@ -347,7 +348,7 @@
     }
     if (g == NULL) {
         g = &p->reg[p->n_reg++];
-        *g = (reg_t){0};
+        *g = (registration_t){0};
         snprintf(g->name, sizeof(g->name), "%s", name);
     }
     if (!json_equal(g->record, record)) {
@@ -363,7 +364,7 @@
 deregister_call(si_platform_t *p, const char *name)
 {
     ms_t now = clock_now();
-    reg_t *g;
+    registration_t *g;
 
     list_update(p, now);
     g = reg_find(p, name);
@@ -462,7 +463,7 @@
 /* Handles the calls of the fabric and of the tests, which are neither counted
  * nor affected by injected faults. */
 static bool
-unaffected(si_platform_t *p, const si_request_t *r, si_reply_t *out)
+handle_exempt_call(si_platform_t *p, const si_request_t *r, si_reply_t *out)
 {
     if (strcmp(r->path, "/v1/switch") == 0) {
         *out = switch_call(p, r);
@@ -491,11 +492,11 @@
         lost = instances_call(p, r);
         json_decref(lost.body);
     }
-    return cut;
+    return no_answer;
 }
 
 static void
-pause_ms(int64_t ms)
+sleep_ms(int64_t ms)
 {
     struct timespec ts = {.tv_sec = ms / 1000, .tv_nsec = ms % 1000 * 1000000};
 
@@ -510,12 +511,12 @@
     int64_t slow;
 
     pthread_mutex_lock(&p->lock);
-    if (!unaffected(p, r, &out)) {
+    if (!handle_exempt_call(p, r, &out)) {
         p->calls[call_kind(r)]++;
         slow = p->slow_ms;
         if (slow > 0) {
             pthread_mutex_unlock(&p->lock);
-            pause_ms(slow);
+            sleep_ms(slow);
             pthread_mutex_lock(&p->lock);
         }
         out = p->outage ? call_in_outage(p, r) : dispatch(p, r);
@@ -568,7 +569,7 @@
     si_rest_close(p->rest);
     for (size_t i = 0; i < p->n_kv; i++) {
         free(p->kv[i].value);
-        free(p->kv[i].before);
+        free(p->kv[i].previous);
     }
     for (size_t i = 0; i < p->n_reg; i++) {
         json_decref(p->reg[i].record);
--- a/standin/uploads.c
+++ b/standin/uploads.c
@@ -67,8 +67,8 @@
 }
 
 uint8_t
-si_uploads_block(si_uploads_t *us, const addr_t *client, const coap_msg_t *m,
-                 uint64_t *bytes)
+si_uploads_on_block(si_uploads_t *us, const addr_t *client,
+                    const coap_msg_t *m, uint64_t *bytes)
 {
     uint32_t num = m->block1 >> 4;
     bool more = m->block1 & 8;
--- a/standin/uploads.h
+++ b/standin/uploads.h
@@ -21,8 +21,8 @@
 void si_uploads_clear(si_uploads_t *us);
 /* Handles a block from CLIENT.  Returns the answer's code (RFC 7959 2.9) and
  * sets *BYTES to the number of bytes received so far. */
-uint8_t si_uploads_block(si_uploads_t *us, const addr_t *client,
-                         const coap_msg_t *m, uint64_t *bytes);
+uint8_t si_uploads_on_block(si_uploads_t *us, const addr_t *client,
+                            const coap_msg_t *m, uint64_t *bytes);
 
 #ifdef __cplusplus
 }
--- a/standin/upstream.c
+++ b/standin/upstream.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define COLD_FACTOR 5
+#define WARMUP_FACTOR 5
 #define PAYLOAD_MAX 200
 #define FORBIDDEN COAP_C(4, 3)
 
@@ -28,11 +28,11 @@
     uint16_t mid;
     ms_t now;   /* time of the current tick */
     ms_t up_at; /* unreachable before */
-    ms_t sweep_at;
+    ms_t next_expiry_at;
     bool draining, frozen;
-    int lie; /* busy requests to report; negative: the real value */
-    ms_t shown_at;
-    uint32_t shown_busy, shown_queued, shown_conn;
+    int fake_busy; /* busy requests to report; negative: the real value */
+    ms_t reported_at;
+    uint32_t reported_busy, reported_queued, reported_conn;
 };
 
 /* ---- Sending ---- */
@@ -53,7 +53,7 @@
 
 /* Returns an answer to M with CODE and no payload. */
 static coap_msg_t
-answer_to(si_upstream_t *u, const coap_msg_t *m, uint8_t code)
+new_answer(si_upstream_t *u, const coap_msg_t *m, uint8_t code)
 {
     coap_msg_t a = COAP_MSG_INIT;
 
@@ -69,7 +69,7 @@
 answer_text(si_upstream_t *u, const addr_t *to, const spp_t *header,
             const coap_msg_t *m, uint8_t code, const char *text)
 {
-    coap_msg_t a = answer_to(u, m, code);
+    coap_msg_t a = new_answer(u, m, code);
 
     a.payload = (const uint8_t *)text;
     a.payload_len = strlen(text);
@@ -105,8 +105,8 @@
              const coap_msg_t *m)
 {
     x->from = *from;
-    if (x->state == SI_EX_BARRED) {
-        u->stats.barred++;
+    if (x->state == SI_EX_CANCELLED) {
+        u->stats.cancelled++;
         answer_text(u, from, &x->header, m, COAP_CONFLICT, "");
         return;
     }
@@ -120,20 +120,20 @@
 static void
 ex_refuse(si_upstream_t *u, si_exchange_t *x, const coap_msg_t *m)
 {
-    coap_msg_t a = answer_to(u, m, COAP_UNAVAILABLE);
+    coap_msg_t a = new_answer(u, m, COAP_UNAVAILABLE);
 
-    a.max_age = u->params.come_back_s;
+    a.max_age = u->params.refusal_max_age_s;
     x->state = SI_EX_REFUSED;
     ex_answer(u, x, &a);
 }
 
 /* False when the client is new and can't be added. */
 static bool
-conn_touch(si_upstream_t *u, ms_t now, const addr_t *client)
+update_conn(si_upstream_t *u, ms_t now, const addr_t *client)
 {
     bool room = !u->draining && u->conns.n < u->params.connections;
 
-    return si_conns_touch(&u->conns, now, client, room);
+    return si_conns_update(&u->conns, now, client, room);
 }
 
 /* ---- Running requests ---- */
@@ -215,10 +215,11 @@
 /* Handles a block of an upload.  A block that is answered 4.08 is not
  * accepted. The last block runs the upload as a whole. */
 static uint8_t
-take_block(si_upstream_t *u, const si_exchange_t *x, const coap_msg_t *m,
-           uint64_t *bytes)
+on_block(si_upstream_t *u, const si_exchange_t *x, const coap_msg_t *m,
+         uint64_t *bytes)
 {
-    uint8_t code = si_uploads_block(&u->uploads, &x->header.client, m, bytes);
+    uint8_t code =
+        si_uploads_on_block(&u->uploads, &x->header.client, m, bytes);
 
     if (code == COAP_CONTINUE) {
         log_run(u, "block", x, m);
@@ -242,13 +243,13 @@
     if (coap_decode(&m, x->request, x->request_len) < 0) {
         return;
     }
-    a = answer_to(u, &m, m.code == COAP_GET ? COAP_CONTENT : COAP_CHANGED);
+    a = new_answer(u, &m, m.code == COAP_GET ? COAP_CONTENT : COAP_CHANGED);
     payload_id(id, &m);
     if (m.code == COAP_GET) {
         a.observe = observe(u, now, x, &m);
     }
     else if (m.block1 != COAP_NONE) {
-        a.code = take_block(u, x, &m, &bytes);
+        a.code = on_block(u, x, &m, &bytes);
         a.block1 = m.block1;
         snprintf(id, sizeof(id), "%llu", (unsigned long long)bytes);
     }
@@ -262,7 +263,7 @@
 static void
 ex_start(si_upstream_t *u, ms_t now, si_exchange_t *x)
 {
-    ms_t took = u->params.service_ms;
+    ms_t duration_ms = u->params.service_ms;
     coap_msg_t m;
 
     list_remove(&x->work);
@@ -276,11 +277,11 @@
         ex_refuse(u, x, &m);
         return;
     }
-    if (now < u->up_at + u->params.cold_ms) {
-        took *= COLD_FACTOR;
+    if (now < u->up_at + u->params.warmup_ms) {
+        duration_ms *= WARMUP_FACTOR;
     }
     x->state = SI_EX_RUNNING;
-    x->done_at = now + took;
+    x->done_at = now + duration_ms;
     list_append(&u->running, &x->work);
     u->n_running++;
     if (m.block1 == COAP_NONE) {
@@ -321,7 +322,7 @@
     x->from = *from;
     x->deadline =
         m->max_age == COAP_NONE ? MS_NEVER : now + (ms_t)m->max_age * 1000;
-    room = conn_touch(u, now, &header->client) &&
+    room = update_conn(u, now, &header->client) &&
            u->n_queue < (uint32_t)u->params.queue + u->params.slots;
     x->request = room ? malloc(len) : NULL;
     if (x->request == NULL) {
@@ -357,15 +358,15 @@
 }
 
 static void
-load_refresh(si_upstream_t *u, ms_t now)
+refresh_load(si_upstream_t *u, ms_t now)
 {
-    if (u->frozen || now < u->shown_at + u->params.load_lag_ms) {
+    if (u->frozen || now < u->reported_at + u->params.load_lag_ms) {
         return;
     }
-    u->shown_at = now;
-    u->shown_busy = u->n_running;
-    u->shown_queued = u->n_queue;
-    u->shown_conn = u->conns.n;
+    u->reported_at = now;
+    u->reported_busy = u->n_running;
+    u->reported_queued = u->n_queue;
+    u->reported_conn = u->conns.n;
 }
 
 static void
@@ -377,15 +378,16 @@
     if (!addr_eq(&header->service, &u->params.service)) {
         u->stats.probe_mismatch++;
     }
-    load_refresh(u, now);
+    refresh_load(u, now);
     snprintf(text, sizeof(text),
              "{\"service\":\"%s\",\"epoch\":%u,\"busy\":%u,\"queued\":%u,"
              "\"slots\":%u,\"connections\":%u,\"draining\":%s,"
              "\"age_ms\":%lld}",
              addr_text(&u->params.service, service), u->params.epoch,
-             u->lie >= 0 ? (uint32_t)u->lie : u->shown_busy,
-             u->lie >= 0 ? 0 : u->shown_queued, u->params.slots, u->shown_conn,
-             u->draining ? "true" : "false", (long long)(now - u->up_at));
+             u->fake_busy >= 0 ? (uint32_t)u->fake_busy : u->reported_busy,
+             u->fake_busy >= 0 ? 0 : u->reported_queued, u->params.slots,
+             u->reported_conn, u->draining ? "true" : "false",
+             (long long)(now - u->up_at));
     answer_text(u, from, header, m, COAP_CONTENT, text);
 }
 
@@ -416,8 +418,8 @@
 /* Cancels the request unless it has started; returns its state, or NULL when
  * the exchange can't be added. */
 static const char *
-bar(si_upstream_t *u, ms_t now, const spp_t *header, uint16_t mid,
-    const char *owner, char *by, size_t by_cap)
+cancel_exchange(si_upstream_t *u, ms_t now, const spp_t *header, uint16_t mid,
+                const char *owner, char *by, size_t by_cap)
 {
     si_exchange_t *x = si_exchanges_find(&u->exchanges, &header->client, mid);
     coap_msg_t m;
@@ -427,13 +429,13 @@
         if (x == NULL) {
             return NULL;
         }
-        x->state = SI_EX_BARRED;
+        x->state = SI_EX_CANCELLED;
     }
     if (x->state != SI_EX_RUNNING && x->state != SI_EX_DONE) {
-        if (x->by[0] == '\0') {
-            snprintf(x->by, sizeof(x->by), "%s", owner);
+        if (x->cancelled_by[0] == '\0') {
+            snprintf(x->cancelled_by, sizeof(x->cancelled_by), "%s", owner);
         }
-        snprintf(by, by_cap, "%s", x->by);
+        snprintf(by, by_cap, "%s", x->cancelled_by);
     }
     switch (x->state) {
     case SI_EX_RUNNING:
@@ -441,14 +443,14 @@
     case SI_EX_DONE:
         return "done";
     case SI_EX_REFUSED:
-    case SI_EX_BARRED:
+    case SI_EX_CANCELLED:
         return "barred";
     case SI_EX_QUEUED:
         break;
     }
     list_remove(&x->work);
     u->n_queue--;
-    x->state = SI_EX_BARRED;
+    x->state = SI_EX_CANCELLED;
     if (coap_decode(&m, x->request, x->request_len) == 0) {
         answer_text(u, &x->from, &x->header, &m, COAP_CONFLICT, "");
     }
@@ -473,7 +475,7 @@
         answer_text(u, from, header, m, COAP_BAD_REQUEST, "");
         return;
     }
-    state = bar(u, now, &target, mid, owner, by, sizeof(by));
+    state = cancel_exchange(u, now, &target, mid, owner, by, sizeof(by));
     if (state == NULL) {
         answer_text(u, from, header, m, COAP_UNAVAILABLE, "");
         return;
@@ -491,8 +493,8 @@
     coap_msg_t rst = COAP_MSG_INIT;
 
     if (m->type == COAP_T_ACK || m->type == COAP_T_RST) {
-        conn_touch(u, now, &header->client);
-        si_feeds_answered(&u->feeds, &header->client, m);
+        update_conn(u, now, &header->client);
+        si_feeds_on_empty(&u->feeds, &header->client, m);
         return;
     }
     if (m->type == COAP_T_CON) { /* a ping, RFC 7252 4.3 */
@@ -512,7 +514,7 @@
     char self[ADDR_STRLEN];
     int n;
 
-    if (!conn_touch(u, now, &header->client)) {
+    if (!update_conn(u, now, &header->client)) {
         u->stats.shed++;
         return;
     }
@@ -587,7 +589,7 @@
     coap_msg_t full = *m;
     char id[SI_ID_MAX], text[PAYLOAD_MAX];
 
-    si_conns_touch(&u->conns, u->now, &f->header.client, false);
+    si_conns_update(&u->conns, u->now, &f->header.client, false);
     snprintf(id, sizeof(id), "n%u", m->observe);
     full.payload = (const uint8_t *)text;
     full.payload_len = answer_payload(u, text, id, &f->header);
@@ -608,26 +610,26 @@
         }
     }
     start_queued(u, now);
-    load_refresh(u, now);
+    refresh_load(u, now);
     si_feeds_tick(&u->feeds, now, notify, u);
-    if (now >= u->sweep_at) {
-        u->sweep_at = now + 1000;
+    if (now >= u->next_expiry_at) {
+        u->next_expiry_at = now + 1000;
         si_exchanges_expire(&u->exchanges, now);
-        si_conns_sweep(&u->conns, now - u->params.idle_ms);
+        si_conns_expire(&u->conns, now - u->params.idle_ms);
     }
 }
 
 /* ---- Lifecycle ---- */
 
 static void
-forget(si_upstream_t *u)
+clear_state(si_upstream_t *u)
 {
     si_exchanges_clear(&u->exchanges);
     si_uploads_clear(&u->uploads);
-    si_conns_sweep(&u->conns, MS_NEVER);
+    si_conns_expire(&u->conns, MS_NEVER);
     si_feeds_clear(&u->feeds);
     u->n_queue = u->n_running = 0;
-    u->shown_busy = u->shown_queued = u->shown_conn = 0;
+    u->reported_busy = u->reported_queued = u->reported_conn = 0;
 }
 
 si_upstream_t *
@@ -642,13 +644,13 @@
     u->params = *p;
     u->out = *out;
     u->up_at = now;
-    u->lie = -1;
+    u->fake_busy = -1;
     si_exchanges_init(&u->exchanges);
     si_uploads_init(&u->uploads);
     list_init(&u->queue);
     list_init(&u->running);
     si_feeds_init(&u->feeds);
-    u->feeds.period_ms = p->feed_ms;
+    u->feeds.period_ms = p->notify_interval_ms;
     u->feeds.con_every = p->con_every;
     u->feeds.ack_ms = p->ack_ms;
     u->feeds.max = p->connections;
@@ -661,7 +663,7 @@
     if (u == NULL) {
         return;
     }
-    forget(u);
+    clear_state(u);
     free(u);
 }
 
@@ -669,7 +671,7 @@
 si_upstream_restart(si_upstream_t *u, ms_t now, ms_t down_ms,
                     const addr_t *service)
 {
-    forget(u);
+    clear_state(u);
     u->params.epoch++;
     u->up_at = now + down_ms;
     u->draining = false;
@@ -697,9 +699,9 @@
 }
 
 void
-si_upstream_lie(si_upstream_t *u, int busy)
+si_upstream_fake_load(si_upstream_t *u, int busy)
 {
-    u->lie = busy;
+    u->fake_busy = busy;
 }
 
 const si_upstream_params_t *
@@ -728,7 +730,7 @@
     } fields[] = {{"epoch", u->params.epoch},
                   {"executed", s->executed},
                   {"duplicates", s->duplicates},
-                  {"barred", s->barred},
+                  {"barred", s->cancelled},
                   {"shed", s->shed},
                   {"late", s->late},
                   {"misdelivered", s->misdelivered},
--- a/standin/upstream.h
+++ b/standin/upstream.h
@@ -31,24 +31,24 @@
     uint16_t queue; /* limit of requests waiting for a slot */
     uint32_t connections;
     ms_t service_ms;
-    ms_t cold_ms; /* warm-up after a start: requests take 5 times as long */
-    ms_t idle_ms; /* a connection idle for longer is removed */
+    ms_t warmup_ms; /* warm-up after a start: requests take 5 times as long */
+    ms_t idle_ms;   /* a connection idle for longer is removed */
     ms_t load_lag_ms;
-    ms_t feed_ms; /* interval between notifications */
+    ms_t notify_interval_ms; /* interval between notifications */
     int con_every;
     ms_t ack_ms;
-    uint32_t come_back_s; /* Max-Age of a refusal */
+    uint32_t refusal_max_age_s; /* Max-Age of a refusal */
 } si_upstream_params_t;
 
 #define SI_UPSTREAM_PARAMS                                                    \
     {                                                                         \
         .epoch = 1, .slots = 2, .queue = 8, .connections = 2000,              \
-        .service_ms = 20, .idle_ms = 120000, .feed_ms = 500, .con_every = 4,  \
-        .ack_ms = 2000, .come_back_s = 1                                      \
+        .service_ms = 20, .idle_ms = 120000, .notify_interval_ms = 500,       \
+        .con_every = 4, .ack_ms = 2000, .refusal_max_age_s = 1                \
     }
 
 typedef struct {
-    uint64_t executed, duplicates, barred, shed, late;
+    uint64_t executed, duplicates, cancelled, shed, late;
     uint64_t misdelivered; /* addressed to another service */
     uint64_t probe_mismatch, malformed, echoed;
 } si_upstream_stats_t;
@@ -75,7 +75,7 @@
 void si_upstream_freeze(si_upstream_t *u, bool on);
 /* The load endpoint reports BUSY running requests; negative: the real value.
  */
-void si_upstream_lie(si_upstream_t *u, int busy);
+void si_upstream_fake_load(si_upstream_t *u, int busy);
 
 const si_upstream_params_t *si_upstream_params(const si_upstream_t *u);
 const si_upstream_stats_t *si_upstream_stats(const si_upstream_t *u);
--- a/standin/upstream_main.c
+++ b/standin/upstream_main.c
@@ -177,30 +177,30 @@
 static int
 control(si_upstream_t *u, const si_request_t *r)
 {
-    const char *what = si_query(r, "do");
+    const char *action = si_query(r, "do");
     const char *text = si_query(r, "service");
     bool on = si_query_int(r, "on", 1) != 0;
     addr_t service;
 
-    if (what == NULL || (text != NULL && addr_parse(&service, text) < 0)) {
+    if (action == NULL || (text != NULL && addr_parse(&service, text) < 0)) {
         return -EINVAL;
     }
-    if (strcmp(what, "restart") == 0) {
+    if (strcmp(action, "restart") == 0) {
         si_upstream_restart(u, clock_now(),
                             si_query_int(r, "down_ms", DOWN_MS),
                             text != NULL ? &service : NULL);
     }
-    else if (strcmp(what, "kill") == 0) {
+    else if (strcmp(action, "kill") == 0) {
         si_upstream_kill(u);
     }
-    else if (strcmp(what, "drain") == 0) {
+    else if (strcmp(action, "drain") == 0) {
         si_upstream_drain(u, on);
     }
-    else if (strcmp(what, "freeze") == 0) {
+    else if (strcmp(action, "freeze") == 0) {
         si_upstream_freeze(u, on);
     }
-    else if (strcmp(what, "lie") == 0) {
-        si_upstream_lie(u, (int)si_query_int(r, "busy", -1));
+    else if (strcmp(action, "lie") == 0) {
+        si_upstream_fake_load(u, (int)si_query_int(r, "busy", -1));
     }
     else {
         return -EINVAL;
@@ -209,16 +209,16 @@
 }
 
 static si_reply_t
-control_some(host_t *h, const si_request_t *r)
+control_matching(host_t *h, const si_request_t *r)
 {
-    const char *who = si_query(r, "addr");
+    const char *wanted = si_query(r, "addr");
     char text[ADDR_STRLEN];
     int done = 0;
 
-    for (size_t i = 0; i < h->n && who != NULL; i++) {
+    for (size_t i = 0; i < h->n && wanted != NULL; i++) {
         si_upstream_t *u = h->slot[i].upstream;
         addr_text(&si_upstream_params(u)->addr, text);
-        if (strcmp(who, "all") != 0 && strcmp(who, text) != 0) {
+        if (strcmp(wanted, "all") != 0 && strcmp(wanted, text) != 0) {
             continue;
         }
         if (control(u, r) < 0) {
@@ -256,7 +256,7 @@
         out = (si_reply_t){.status = 200, .body = all_stats(h)};
     }
     else if (strcmp(r->path, "/v1/upstream") == 0) {
-        out = control_some(h, r);
+        out = control_matching(h, r);
     }
     else {
         out = si_reply_error(404, "no such resource");
@@ -353,8 +353,8 @@
 
     p.service_ms = si_option_int(a->service, (int)p.service_ms);
     p.queue = (uint16_t)si_option_int(a->queue, p.queue);
-    p.cold_ms = si_option_int(a->cold, (int)p.cold_ms);
-    p.feed_ms = si_option_int(a->feed, (int)p.feed_ms);
+    p.warmup_ms = si_option_int(a->cold, (int)p.warmup_ms);
+    p.notify_interval_ms = si_option_int(a->feed, (int)p.notify_interval_ms);
     p.con_every = si_option_int(a->con, p.con_every);
     p.ack_ms = si_option_int(a->ack, (int)p.ack_ms);
     p.load_lag_ms = si_option_int(a->lag, (int)p.load_lag_ms);
@@ -382,8 +382,8 @@
     }
     else if (open_files(h, a->conf->filename, (size_t)a->conf->count, &p, e) ==
              0) {
-        si_fabric_faults(h->fabric, si_option_int(a->lose, 0),
-                         si_option_int(a->repeat, 0));
+        si_fabric_set_faults(h->fabric, si_option_int(a->lose, 0),
+                             si_option_int(a->repeat, 0));
         h->rest = si_rest_open((uint16_t)si_option_int(a->admin, 8600),
                                on_admin, h, e);
     }
--- a/standin/verdict.c
+++ b/standin/verdict.c
@@ -36,7 +36,7 @@
 
 /* Copies the value of KEY (" key=") in LINE; false when the key is absent. */
 static bool
-value(char out[VALUE_MAX], const char *line, const char *key)
+copy_value(char out[VALUE_MAX], const char *line, const char *key)
 {
     const char *p = strstr(line, key);
     size_t n;
@@ -53,7 +53,7 @@
 }
 
 static json_t *
-entry(si_verdict_t *v, const char *id)
+find_or_add(si_verdict_t *v, const char *id)
 {
     json_t *e = json_object_get(v->ids, id);
 
@@ -71,10 +71,10 @@
     char id[VALUE_MAX];
     json_t *e;
 
-    if (!value(id, line, " id=") || strcmp(id, "-") == 0) {
+    if (!copy_value(id, line, " id=") || strcmp(id, "-") == 0) {
         return; /* idempotent: may run again */
     }
-    e = entry(v, id);
+    e = find_or_add(v, id);
     json_object_set_new(
         e, what,
         json_integer(json_integer_value(json_object_get(e, what)) + 1));
@@ -85,13 +85,15 @@
 {
     char id[VALUE_MAX], outcome[VALUE_MAX];
 
-    if (value(id, line, " id=") && value(outcome, line, " outcome=")) {
-        json_object_set_new(entry(v, id), "outcome", json_string(outcome));
+    if (copy_value(id, line, " id=") &&
+        copy_value(outcome, line, " outcome=")) {
+        json_object_set_new(find_or_add(v, id), "outcome",
+                            json_string(outcome));
     }
 }
 
 static bool
-starts(const char *line, const char *word)
+starts_with(const char *line, const char *word)
 {
     return strncmp(line, word, strlen(word)) == 0;
 }
@@ -99,23 +101,23 @@
 void
 si_verdict_line(si_verdict_t *v, const char *line)
 {
-    if (starts(line, "run ")) {
+    if (starts_with(line, "run ")) {
         on_run(v, line, "runs");
     }
-    else if (starts(line, "block ")) {
+    else if (starts_with(line, "block ")) {
         on_run(v, line, "blocks");
     }
-    else if (starts(line, "post ")) {
+    else if (starts_with(line, "post ")) {
         on_post(v, line);
     }
-    v->misdelivered += starts(line, "misdelivered ");
-    v->crossed += starts(line, "crossed ");
-    v->broken += starts(line, "broken ");
+    v->misdelivered += starts_with(line, "misdelivered ");
+    v->crossed += starts_with(line, "crossed ");
+    v->broken += starts_with(line, "broken ");
 }
 
 typedef enum {
     FAULT_NONE,
-    FAULT_TWICE,
+    FAULT_EXECUTED_TWICE,
     FAULT_FALSE_NOT_RUN,
     FAULT_NEVER_RAN,
     FAULT_KINDS
@@ -139,7 +141,7 @@
 }
 
 static bool
-said_not_run(const json_t *e)
+reported_not_run(const json_t *e)
 {
     return outcome_is(e, "refused") || outcome_is(e, "conflict");
 }
@@ -152,9 +154,9 @@
     json_int_t blocks = json_integer_value(json_object_get(e, "blocks"));
 
     if (runs > 1) {
-        return FAULT_TWICE;
+        return FAULT_EXECUTED_TWICE;
     }
-    if (runs + blocks > 0 && said_not_run(e)) {
+    if (runs + blocks > 0 && reported_not_run(e)) {
         return FAULT_FALSE_NOT_RUN;
     }
     if (runs + blocks == 0 && outcome_is(e, "answered")) {
@@ -164,25 +166,25 @@
 }
 
 void
-si_verdict_count(const si_verdict_t *v, si_counts_t *out)
+si_verdict_count(const si_verdict_t *v, si_verdict_counts_t *out)
 {
     uint64_t n[FAULT_KINDS] = {0};
     const char *id;
     json_t *e;
 
-    *out = (si_counts_t){.misdelivered = v->misdelivered,
-                         .crossed = v->crossed,
-                         .broken = v->broken};
+    *out = (si_verdict_counts_t){.misdelivered = v->misdelivered,
+                                 .crossed = v->crossed,
+                                 .broken = v->broken};
     json_object_foreach(v->ids, id, e)
     {
         out->posts += json_object_get(e, "outcome") != NULL;
         out->unknown += outcome_is(e, "unknown");
-        out->stored_again += ran(e) && outcome_is(e, "restart");
+        out->restarted_after_run += ran(e) && outcome_is(e, "restart");
         out->unanswered += outcome_is(e, "timeout");
         out->runs += ran(e);
         n[fault(e)]++;
     }
-    out->twice = n[FAULT_TWICE];
+    out->executed_twice = n[FAULT_EXECUTED_TWICE];
     out->false_not_run = n[FAULT_FALSE_NOT_RUN];
     out->never_ran = n[FAULT_NEVER_RAN];
 }
--- a/standin/verdict.h
+++ b/standin/verdict.h
@@ -12,18 +12,18 @@
 #endif
 
 typedef struct {
-    uint64_t posts, runs; /* requests with an outcome, and executed */
-    uint64_t twice;       /* executed more than once */
+    uint64_t posts, runs;    /* requests with an outcome, and executed */
+    uint64_t executed_twice; /* executed more than once */
     uint64_t false_not_run;
     uint64_t never_ran; /* answered but not executed */
     uint64_t misdelivered;
     uint64_t crossed;
-    uint64_t unknown;      /* outcome reported as unknown */
-    uint64_t stored_again; /* completed upload that the caller was told to
-                              restart */
-    uint64_t unanswered;   /* no outcome reported: timeout */
-    uint64_t broken;       /* broken flows */
-} si_counts_t;
+    uint64_t unknown;             /* outcome reported as unknown */
+    uint64_t restarted_after_run; /* completed upload that the caller was told
+                              to restart */
+    uint64_t unanswered;          /* no outcome reported: timeout */
+    uint64_t broken;              /* broken flows */
+} si_verdict_counts_t;
 
 typedef struct si_verdict si_verdict_t;
 
@@ -31,7 +31,7 @@
 void si_verdict_free(si_verdict_t *v);
 /* Processes one line of a caller's or an upstream's log. */
 void si_verdict_line(si_verdict_t *v, const char *line);
-void si_verdict_count(const si_verdict_t *v, si_counts_t *out);
+void si_verdict_count(const si_verdict_t *v, si_verdict_counts_t *out);
 /* Writes the IDs of the requests counted as faults. */
 void si_verdict_faults(const si_verdict_t *v, FILE *out);
 
--- a/standin/verdict_main.c
+++ b/standin/verdict_main.c
@@ -27,16 +27,16 @@
 
 /* Prints the counts; returns the exit status. */
 static int
-print(const si_verdict_t *v, bool allow_broken)
+print_counts(const si_verdict_t *v, bool allow_broken)
 {
-    si_counts_t c;
+    si_verdict_counts_t c;
     uint64_t faults;
 
     si_verdict_count(v, &c);
     si_verdict_faults(v, stderr);
     printf("requests told of: %llu\n", (unsigned long long)c.posts);
     printf("requests run: %llu\n", (unsigned long long)c.runs);
-    printf("executed twice: %llu\n", (unsigned long long)c.twice);
+    printf("executed twice: %llu\n", (unsigned long long)c.executed_twice);
     printf("not run but ran: %llu\n", (unsigned long long)c.false_not_run);
     printf("answered but never ran: %llu\n", (unsigned long long)c.never_ran);
     printf("misdelivered: %llu\n", (unsigned long long)c.misdelivered);
@@ -44,18 +44,18 @@
     printf("outcome unknown: %llu\n", (unsigned long long)c.unknown);
     printf("unanswered: %llu\n", (unsigned long long)c.unanswered);
     printf("stored, told to start again: %llu\n",
-           (unsigned long long)c.stored_again);
+           (unsigned long long)c.restarted_after_run);
     printf("broken flows: %llu\n", (unsigned long long)c.broken);
-    faults =
-        c.twice + c.false_not_run + c.never_ran + c.misdelivered + c.crossed;
+    faults = c.executed_twice + c.false_not_run + c.never_ran +
+             c.misdelivered + c.crossed;
     if (!allow_broken) {
-        faults += c.unknown + c.unanswered + c.stored_again + c.broken;
+        faults += c.unknown + c.unanswered + c.restarted_after_run + c.broken;
     }
     return faults > 0;
 }
 
 static int
-judge(const struct arg_file *logs, bool allow_broken)
+check_logs(const struct arg_file *logs, bool allow_broken)
 {
     si_verdict_t *v = si_verdict_new();
     int rc = 0;
@@ -67,7 +67,7 @@
         rc = read_log(v, logs->filename[i]) < 0 ? 2 : 0;
     }
     if (rc == 0) {
-        rc = print(v, allow_broken);
+        rc = print_counts(v, allow_broken);
     }
     si_verdict_free(v);
     return rc;
@@ -86,7 +86,7 @@
     int rc;
 
     if (si_args("si_verdict", argc, argv, table, help, end, &rc)) {
-        rc = judge(logs, broken->count > 0);
+        rc = check_logs(logs, broken->count > 0);
     }
     arg_freetable(table, sizeof(table) / sizeof(table[0]));
     return rc;
--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -130,7 +130,7 @@
 }
 
 // The write is applied, but its answer is lost.
-TEST(Platform, LosesAnswersAfterTheEffect)
+TEST(Platform, DropsAnswersOfAppliedWrites)
 {
     platform p;
     p.call("POST", "/v1/switch?lose_answers=1");
@@ -160,7 +160,7 @@
     "\"service_ip\":\"127.20.2.1\",\"return\":\"127.20.2.1:7001\"}";
 static const char *const none = "{\"instances\":[]}";
 
-TEST(Platform, ListShowsInstancesAfterItsLag)
+TEST(Platform, ListShowsChangesAfterTheDelay)
 {
     platform now(0), late(3600000);
     EXPECT_EQ(200, now.call("POST", "/v1/instances", record).status);
@@ -172,7 +172,7 @@
     EXPECT_EQ(none, now.call("GET", "/v1/instances").body);
 }
 
-TEST(Platform, InstanceThatIsNotRenewedVanishes)
+TEST(Platform, UnrenewedInstanceExpires)
 {
     platform p(0, 0);
     p.call("POST", "/v1/instances", record);
@@ -181,7 +181,7 @@
 
 // The fabric's health checks don't use the key-value service: an outage of the
 // service must not remove live instances from the fabric's list.
-TEST(Platform, FabricSeesInstancesThroughAnOutage)
+TEST(Platform, FabricListsInstancesDuringAnOutage)
 {
     platform p;
     p.call("POST", "/v1/switch?outage=1");
@@ -208,7 +208,7 @@
 
 // ---- Fabric ----
 
-TEST(Fabric, PicksAllButTheLeavingAndRemembersReturnAddresses)
+TEST(Fabric, SkipsLeavingInstancesAndKeepsReturnAddresses)
 {
     std::unique_ptr<si_fabric_t, void (*)(si_fabric_t *)> f(
         si_fabric_open(nullptr, 1), si_fabric_close);
@@ -235,12 +235,12 @@
     EXPECT_FALSE(si_fabric_is_return(f.get(), &never));
 }
 
-TEST(Fabric, LosesAndRepeatsAsAsked)
+TEST(Fabric, AppliesLossAndDuplicationRates)
 {
     std::unique_ptr<si_fabric_t, void (*)(si_fabric_t *)> f(
         si_fabric_open(nullptr, 1), si_fabric_close);
     EXPECT_EQ(1, si_fabric_copies(f.get()));
-    si_fabric_faults(f.get(), 20, 30);
+    si_fabric_set_faults(f.get(), 20, 30);
     int seen[3] = {};
     for (int i = 0; i < 1000; i++) {
         seen[si_fabric_copies(f.get())]++;
@@ -292,8 +292,8 @@
         si_upstream_free(u);
     }
     void
-    put(const coap_msg_t &m, const addr_t &client = caller,
-        const addr_t &to = service, const addr_t &from = source)
+    receive(const coap_msg_t &m, const addr_t &client = caller,
+            const addr_t &to = service, const addr_t &from = source)
     {
         uint8_t b[SPP_LEN + DATAGRAM_MAX];
         spp_t h = {client, to};
@@ -312,7 +312,7 @@
     }
     // Decodes the I-th datagram sent; negative: counted from the end.
     coap_msg_t
-    got(int i = -1)
+    decode_sent(int i = -1)
     {
         coap_msg_t m = COAP_MSG_INIT;
         spp_t h;
@@ -329,7 +329,7 @@
     string
     text(int i = -1)
     {
-        coap_msg_t m = got(i);
+        coap_msg_t m = decode_sent(i);
         return string((const char *)m.payload, m.payload_len);
     }
     const si_upstream_stats_t &
@@ -368,17 +368,17 @@
 TEST(Upstream, RunsARequestOnceAndAnswersEachCopy)
 {
     bed b;
-    b.put(request(COAP_POST, 7, "ack", "p1"));
-    b.put(request(COAP_POST, 7, "ack", "p1"));
+    b.receive(request(COAP_POST, 7, "ack", "p1"));
+    b.receive(request(COAP_POST, 7, "ack", "p1"));
     EXPECT_TRUE(b.sent.empty());
     b.run(20);
     ASSERT_EQ(1u, b.sent.size());
-    EXPECT_EQ(COAP_CHANGED, b.got().code);
+    EXPECT_EQ(COAP_CHANGED, b.decode_sent().code);
     EXPECT_EQ("id=p1 client=127.20.9.1:4000 service=127.20.0.1:5683 "
               "upstream=127.20.3.1:5683 epoch=1",
               b.text());
     b.run(246000);
-    b.put(request(COAP_POST, 7, "ack", "p1"), caller, service, other);
+    b.receive(request(COAP_POST, 7, "ack", "p1"), caller, service, other);
     ASSERT_EQ(2u, b.sent.size());
     EXPECT_TRUE(addr_eq(&other, &b.sent[1].to));
     EXPECT_EQ(b.sent[0].bytes, b.sent[1].bytes);
@@ -389,76 +389,78 @@
 }
 
 // After EXCHANGE_LIFETIME the message ID identifies a new request.
-TEST(Upstream, MessageIdMayBeUsedAgainAfterItsLifetime)
+TEST(Upstream, MessageIdIsReusableAfterItsLifetime)
 {
     bed b;
-    b.put(request(COAP_POST, 7, "ack", "p1"));
+    b.receive(request(COAP_POST, 7, "ack", "p1"));
     b.run(SI_EXCHANGE_MS + 1100);
-    b.put(request(COAP_POST, 7, "ack", "p2"));
+    b.receive(request(COAP_POST, 7, "ack", "p2"));
     b.run(20);
     EXPECT_EQ(2u, b.stats().executed);
 }
 
-TEST(Upstream, ShedsWhatItsQueueCannotHold)
+TEST(Upstream, ShedsRequestsWhenTheQueueIsFull)
 {
     si_upstream_params_t p = bed::defaults();
     p.queue = 1;
     bed b(p);
     for (uint16_t i = 0; i < 6; i++) {
-        b.put(request(COAP_POST, i, "ack", "p"));
+        b.receive(request(COAP_POST, i, "ack", "p"));
     }
     uint64_t shed = b.stats().shed;
     EXPECT_EQ(1u, shed);
-    EXPECT_EQ(COAP_UNAVAILABLE, b.got().code);
-    EXPECT_EQ(1u, b.got().max_age);
+    EXPECT_EQ(COAP_UNAVAILABLE, b.decode_sent().code);
+    EXPECT_EQ(1u, b.decode_sent().max_age);
     b.run(100);
     EXPECT_EQ(5u, b.stats().executed);
     // A refused request stays refused.
-    b.put(request(COAP_POST, 5, "ack", "p"));
+    b.receive(request(COAP_POST, 5, "ack", "p"));
     b.run(100);
     EXPECT_EQ(5u, b.stats().executed);
-    EXPECT_EQ(COAP_UNAVAILABLE, b.got().code);
+    EXPECT_EQ(COAP_UNAVAILABLE, b.decode_sent().code);
 }
 
-TEST(Upstream, BarsWhatHasNotStarted)
+TEST(Upstream, CancelsRequestsThatHaveNotStarted)
 {
     bed b;
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7"));
-    EXPECT_EQ(COAP_DELETED, b.got().code);
+    b.receive(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7"));
+    EXPECT_EQ(COAP_DELETED, b.decode_sent().code);
     EXPECT_EQ("{\"state\":\"barred\",\"epoch\":1}", b.text());
-    b.put(request(COAP_POST, 7, "ack", "p1"));
-    EXPECT_EQ(COAP_CONFLICT, b.got().code);
+    b.receive(request(COAP_POST, 7, "ack", "p1"));
+    EXPECT_EQ(COAP_CONFLICT, b.decode_sent().code);
     b.run(100);
     EXPECT_EQ(0u, b.stats().executed);
-    EXPECT_EQ(1u, b.stats().barred);
+    EXPECT_EQ(1u, b.stats().cancelled);
 }
 
 // Two instances cancel the same request: both answers name the first one.
-TEST(Upstream, TellsWhoBarredFirst)
+TEST(Upstream, ReportsTheFirstCancellingInstance)
 {
     bed b;
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7&o=aa"));
+    b.receive(
+        well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7&o=aa"));
     EXPECT_EQ("{\"state\":\"barred\",\"by\":\"aa\",\"epoch\":1}", b.text());
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7&o=bb"));
+    b.receive(
+        well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=7&o=bb"));
     EXPECT_EQ("{\"state\":\"barred\",\"by\":\"aa\",\"epoch\":1}", b.text());
 }
 
-TEST(Upstream, BarsWhatIsQueuedAndTellsOfWhatHasStarted)
+TEST(Upstream, CancelsQueuedAndReportsStartedRequests)
 {
     bed b;
-    b.put(request(COAP_POST, 1, "ack", "p1"));
-    b.put(request(COAP_POST, 2, "ack", "p2"));
-    b.put(request(COAP_POST, 3, "ack", "p3"));
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=3"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 2, "ack", "p2"));
+    b.receive(request(COAP_POST, 3, "ack", "p3"));
+    b.receive(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=3"));
     EXPECT_EQ("{\"state\":\"barred\",\"epoch\":1}", b.text());
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=1"));
+    b.receive(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=1"));
     EXPECT_EQ("{\"state\":\"running\",\"epoch\":1}", b.text());
     b.run(100);
-    b.put(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=1"));
+    b.receive(well_known(COAP_DELETE, "exchange", "c=127.20.9.1:4000&m=1"));
     EXPECT_EQ("{\"state\":\"done\",\"epoch\":1}", b.text());
     EXPECT_EQ(2u, b.stats().executed);
-    b.put(well_known(COAP_DELETE, "exchange", "c=nobody"));
-    EXPECT_EQ(COAP_BAD_REQUEST, b.got().code);
+    b.receive(well_known(COAP_DELETE, "exchange", "c=nobody"));
+    EXPECT_EQ(COAP_BAD_REQUEST, b.decode_sent().code);
 }
 
 TEST(Upstream, DoesNotStartAfterTheDeadline)
@@ -467,113 +469,113 @@
     p.slots = 1;
     p.service_ms = 3000;
     bed b(p);
-    b.put(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
     coap_msg_t m = request(COAP_POST, 2, "ack", "p2");
     m.max_age = 1;
-    b.put(m);
+    b.receive(m);
     b.run(10000);
     EXPECT_EQ(1u, b.stats().executed);
     EXPECT_EQ(1u, b.stats().late);
-    EXPECT_EQ(COAP_UNAVAILABLE, b.got().code);
+    EXPECT_EQ(COAP_UNAVAILABLE, b.decode_sent().code);
 }
 
 TEST(Upstream, ColdStartIsSlower)
 {
     si_upstream_params_t p = bed::defaults();
-    p.cold_ms = 1000;
+    p.warmup_ms = 1000;
     bed b(p);
-    b.put(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
     b.run(95);
     EXPECT_TRUE(b.sent.empty());
     b.run(5);
     EXPECT_EQ(1u, b.sent.size());
 }
 
-TEST(Upstream, DrainingServesWhomItKnows)
+TEST(Upstream, DrainingServesOnlyKnownClients)
 {
     bed b;
-    b.put(request(COAP_GET, 1, "state"));
+    b.receive(request(COAP_GET, 1, "state"));
     si_upstream_drain(b.u, true);
-    b.put(request(COAP_GET, 2, "state"));
-    b.put(request(COAP_GET, 1, "state"), addr("127.20.9.2:1"));
-    EXPECT_EQ(COAP_UNAVAILABLE, b.got().code);
+    b.receive(request(COAP_GET, 2, "state"));
+    b.receive(request(COAP_GET, 1, "state"), addr("127.20.9.2:1"));
+    EXPECT_EQ(COAP_UNAVAILABLE, b.decode_sent().code);
     b.run(20);
     EXPECT_EQ(2u, b.stats().executed);
     EXPECT_EQ(1u, b.stats().shed);
 }
 
-TEST(Upstream, HoldsOnlyItsConnections)
+TEST(Upstream, LimitsItsConnections)
 {
     si_upstream_params_t p = bed::defaults();
     p.connections = 2;
     p.idle_ms = 5000;
     bed b(p);
     for (const char *c : {"127.20.9.1:1", "127.20.9.2:1", "127.20.9.3:1"}) {
-        b.put(request(COAP_GET, 1, "state"), addr(c));
+        b.receive(request(COAP_GET, 1, "state"), addr(c));
     }
     EXPECT_EQ(1u, b.stats().shed);
     b.run(7000);
-    b.put(request(COAP_GET, 1, "state"), addr("127.20.9.4:1"));
+    b.receive(request(COAP_GET, 1, "state"), addr("127.20.9.4:1"));
     EXPECT_EQ(1u, b.stats().shed);
 }
 
-TEST(Upstream, RefusesAndCountsWhatIsForAnotherService)
+TEST(Upstream, RejectsAndCountsMisdeliveredRequests)
 {
     bed b;
-    b.put(request(COAP_POST, 1, "ack", "p1"), caller, other);
-    EXPECT_EQ(COAP_C(4, 3), b.got().code);
+    b.receive(request(COAP_POST, 1, "ack", "p1"), caller, other);
+    EXPECT_EQ(COAP_C(4, 3), b.decode_sent().code);
     EXPECT_EQ(1u, b.stats().misdelivered);
     EXPECT_EQ(0u, b.stats().executed);
     ASSERT_EQ(1u, b.log.size());
     EXPECT_EQ(0u, b.log[0].find("misdelivered service=127.20.0.2:5684 "));
     // An identity probe for another service is a mismatch, not a misdelivery.
-    b.put(well_known(COAP_GET, "load"), source, other);
+    b.receive(well_known(COAP_GET, "load"), source, other);
     EXPECT_EQ(0u, b.text().find("{\"service\":\"127.20.0.1:5683\""));
     EXPECT_EQ(1u, b.stats().misdelivered);
     EXPECT_EQ(1u, b.stats().probe_mismatch);
-    b.put(well_known(COAP_DELETE, "exchange", "c=1.2.3.4:5&m=1"), source,
-          other);
-    EXPECT_EQ(COAP_C(4, 3), b.got().code);
+    b.receive(well_known(COAP_DELETE, "exchange", "c=1.2.3.4:5&m=1"), source,
+              other);
+    EXPECT_EQ(COAP_C(4, 3), b.decode_sent().code);
 }
 
-TEST(Upstream, LoadCanFreezeAndLie)
+TEST(Upstream, LoadCanBeFrozenAndFaked)
 {
     bed b;
     b.run(50);
-    b.put(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
     si_upstream_tick(b.u, b.now);
-    b.put(well_known(COAP_GET, "load"));
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_EQ("{\"service\":\"127.20.0.1:5683\",\"epoch\":1,\"busy\":1,"
               "\"queued\":0,\"slots\":2,\"connections\":1,\"draining\":false,"
               "\"age_ms\":50}",
               b.text());
     si_upstream_freeze(b.u, true);
     b.run(100);
-    b.put(well_known(COAP_GET, "load"));
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_NE(string::npos, b.text().find("\"busy\":1"));
-    si_upstream_lie(b.u, 0);
-    b.put(well_known(COAP_GET, "load"));
+    si_upstream_fake_load(b.u, 0);
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_NE(string::npos, b.text().find("\"busy\":0"));
 }
 
-TEST(Upstream, RestartLosesMemoryAndChangesTheEpoch)
+TEST(Upstream, RestartClearsStateAndChangesTheEpoch)
 {
     bed b;
-    b.put(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
     si_upstream_restart(b.u, b.now, 2000, nullptr);
-    b.put(well_known(COAP_GET, "load"));
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_TRUE(b.sent.empty());
     b.run(2000);
-    b.put(well_known(COAP_GET, "load"));
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_NE(string::npos, b.text().find("\"epoch\":2"));
-    b.put(request(COAP_POST, 1, "ack", "p1"));
+    b.receive(request(COAP_POST, 1, "ack", "p1"));
     EXPECT_EQ(2u, b.stats().executed) << "so a balancer must not send it";
     si_upstream_kill(b.u);
     size_t before = b.sent.size();
     b.run(5000);
     EXPECT_EQ(before, b.sent.size());
     si_upstream_restart(b.u, b.now, 0, &other);
-    b.put(request(COAP_POST, 1, "ack", "p1"), caller, other);
+    b.receive(request(COAP_POST, 1, "ack", "p1"), caller, other);
     EXPECT_EQ(3u, b.stats().executed);
 }
 
@@ -591,36 +593,36 @@
 TEST(Feed, NotifiesTheSourceOfTheLatestRegistration)
 {
     bed b;
-    b.put(registration(1));
+    b.receive(registration(1));
     b.run(20);
-    EXPECT_EQ(0u, b.got().observe);
+    EXPECT_EQ(0u, b.decode_sent().observe);
     b.run(500);
-    EXPECT_EQ(1u, b.got().observe);
+    EXPECT_EQ(1u, b.decode_sent().observe);
     EXPECT_TRUE(addr_eq(&source, &b.sent.back().to));
-    b.put(registration(2), caller, service, other);
+    b.receive(registration(2), caller, service, other);
     b.sent.clear();
     b.run(520);
     ASSERT_EQ(2u, b.sent.size()) << "an answer and one notification";
     EXPECT_TRUE(addr_eq(&other, &b.sent[1].to));
-    b.put(registration(3, 1));
+    b.receive(registration(3, 1));
     b.run(20);
     b.sent.clear();
     b.run(5000);
     EXPECT_TRUE(b.sent.empty());
 }
 
-TEST(Feed, LivesOnAcknowledgements)
+TEST(Feed, StaysRegisteredWhileAcknowledged)
 {
     bed b;
-    b.put(registration(1));
+    b.receive(registration(1));
     for (int i = 0; i < 400; i++) {
         b.run(500);
-        coap_msg_t n = b.got();
+        coap_msg_t n = b.decode_sent();
         if (n.type == COAP_T_CON) {
             coap_msg_t ack = COAP_MSG_INIT;
             ack.type = COAP_T_ACK;
             ack.mid = n.mid;
-            b.put(ack);
+            b.receive(ack);
         }
     }
     EXPECT_GT(b.sent.size(), 390u);
@@ -630,7 +632,7 @@
 TEST(Feed, EndsWhenNoNotificationIsAcknowledged)
 {
     bed b;
-    b.put(registration(1));
+    b.receive(registration(1));
     b.run(70000);
     b.sent.clear();
     b.run(5000);
@@ -640,12 +642,12 @@
 TEST(Feed, EndsWithAReset)
 {
     bed b;
-    b.put(registration(1));
+    b.receive(registration(1));
     b.run(600);
     coap_msg_t rst = COAP_MSG_INIT;
     rst.type = COAP_T_RST;
-    rst.mid = b.got().mid;
-    b.put(rst);
+    rst.mid = b.decode_sent().mid;
+    b.receive(rst);
     b.sent.clear();
     b.run(5000);
     EXPECT_TRUE(b.sent.empty());
@@ -661,31 +663,31 @@
     return m;
 }
 
-TEST(Upload, TakesBlocksInOrder)
+TEST(Upload, AcceptsBlocksInOrder)
 {
     bed b;
-    b.put(block(1, 0, true));
+    b.receive(block(1, 0, true));
     b.run(20);
-    EXPECT_EQ(COAP_CONTINUE, b.got().code);
-    EXPECT_EQ(block(1, 0, true).block1, b.got().block1);
-    b.put(block(2, 2, true));
+    EXPECT_EQ(COAP_CONTINUE, b.decode_sent().code);
+    EXPECT_EQ(block(1, 0, true).block1, b.decode_sent().block1);
+    b.receive(block(2, 2, true));
     b.run(20);
-    EXPECT_EQ(COAP_INCOMPLETE, b.got().code);
-    b.put(block(3, 1, false));
+    EXPECT_EQ(COAP_INCOMPLETE, b.decode_sent().code);
+    b.receive(block(3, 1, false));
     b.run(20);
-    EXPECT_EQ(COAP_CHANGED, b.got().code);
+    EXPECT_EQ(COAP_CHANGED, b.decode_sent().code);
     EXPECT_EQ(0u, b.text().find("id=16 ")) << "bytes received";
     ASSERT_EQ(2u, b.log.size()) << "what is answered 4.08 was not taken";
     EXPECT_EQ(0u, b.log[0].find("block "));
     EXPECT_EQ(0u, b.log[1].find("run "));
-    b.put(block(4, 1, false));
+    b.receive(block(4, 1, false));
     b.run(20);
-    EXPECT_EQ(COAP_INCOMPLETE, b.got().code) << "no upload any more";
+    EXPECT_EQ(COAP_INCOMPLETE, b.decode_sent().code) << "no upload any more";
 }
 
 // ---- Opaque ----
 
-TEST(Opaque, EchoesBehindItsName)
+TEST(Opaque, PrefixesEchoesWithAddressAndEpoch)
 {
     si_upstream_params_t p = bed::defaults();
     p.opaque = true;
@@ -698,7 +700,7 @@
     ASSERT_EQ(1u, b.sent.size());
     string text(b.sent[0].bytes.begin() + SPP_LEN, b.sent[0].bytes.end());
     EXPECT_EQ("upstream=127.20.3.1:5683 epoch=1 hi", text);
-    b.put(well_known(COAP_GET, "load"));
+    b.receive(well_known(COAP_GET, "load"));
     EXPECT_NE(string::npos, b.text().find("\"connections\":1"));
 }
 
@@ -707,20 +709,20 @@
 // A relay with one upstream, the simplest case of a balancer.  Loses, repeats
 // and delays datagrams, pseudo-randomly from SEED.
 struct relay {
-    struct parcel {
+    struct packet {
         ms_t at;
         bool to_upstream;
         std::vector<uint8_t> bytes;
     };
     si_upstream_t *u;
     si_client_t *c;
-    si_tally_t tally = {};
+    si_client_stats_t stats = {};
     si_verdict_t *verdict = si_verdict_new();
-    std::deque<parcel> wire;
+    std::deque<packet> in_flight;
     rng_t rng;
     uint32_t lose, repeat; // percent
     ms_t now = 1000;
-    bool cut = false;
+    bool link_down = false;
     si_client_params_t params = SI_CLIENT_PARAMS;
 
     static void
@@ -752,7 +754,7 @@
         params.seed = seed;
         snprintf(params.name, sizeof(params.name), "c");
         si_client_out_t co = {this, from_client, on_log};
-        c = si_client_new(&params, &co, &tally, now);
+        c = si_client_new(&params, &co, &stats, now);
     }
     ~relay()
     {
@@ -763,17 +765,17 @@
     void
     post(bool to_upstream, const uint8_t *data, size_t len)
     {
-        if (cut || rng_below(&rng, 100) < lose) {
+        if (link_down || rng_below(&rng, 100) < lose) {
             return;
         }
         std::vector<uint8_t> b(data, data + len);
-        wire.push_back({now + rng_below(&rng, 30), to_upstream, b});
+        in_flight.push_back({now + rng_below(&rng, 30), to_upstream, b});
         if (rng_below(&rng, 100) < repeat) {
-            wire.push_back({now + rng_below(&rng, 5000), to_upstream, b});
+            in_flight.push_back({now + rng_below(&rng, 5000), to_upstream, b});
         }
     }
     void
-    deliver(const parcel &p)
+    deliver(const packet &p)
     {
         if (!p.to_upstream) {
             si_client_receive(c, now, p.bytes.data(), p.bytes.size());
@@ -790,27 +792,27 @@
     {
         for (ms_t end = now + ms; now < end;) {
             now += 5;
-            std::deque<parcel> due;
-            for (size_t i = wire.size(); i-- > 0;) {
-                if (wire[i].at <= now) {
-                    due.push_front(wire[i]);
-                    wire.erase(wire.begin() + (long)i);
+            std::deque<packet> due;
+            for (size_t i = in_flight.size(); i-- > 0;) {
+                if (in_flight[i].at <= now) {
+                    due.push_front(in_flight[i]);
+                    in_flight.erase(in_flight.begin() + (long)i);
                 }
             }
-            for (const parcel &p : due) {
+            for (const packet &p : due) {
                 deliver(p);
             }
             si_upstream_tick(u, now);
             si_client_tick(c, now);
         }
     }
-    si_counts_t
+    si_verdict_counts_t
     finish()
     {
-        si_counts_t n;
+        si_verdict_counts_t n;
         si_client_stop(c);
         run(130000);
-        si_client_give_up(c, now);
+        si_client_abort(c, now);
         si_verdict_count(verdict, &n);
         return n;
     }
@@ -823,9 +825,9 @@
 {
     relay r(upload ? SI_UPLOAD : SI_POST, seed, 30, 30);
     r.run(60000);
-    si_counts_t n = r.finish();
+    si_verdict_counts_t n = r.finish();
     RC_ASSERT(n.posts > 0u);
-    RC_ASSERT(n.twice == 0u);
+    RC_ASSERT(n.executed_twice == 0u);
     RC_ASSERT(n.false_not_run == 0u);
     RC_ASSERT(n.never_ran == 0u);
     RC_ASSERT(n.misdelivered == 0u);
@@ -836,27 +838,27 @@
 {
     relay r(SI_UPLOAD, 1, 0, 0);
     r.run(30000);
-    si_counts_t n = r.finish();
-    EXPECT_GT(r.tally.uploaded, 5u);
+    si_verdict_counts_t n = r.finish();
+    EXPECT_GT(r.stats.uploaded, 5u);
     EXPECT_EQ(0u, n.broken);
     EXPECT_EQ(0u, n.crossed);
-    EXPECT_EQ(r.tally.uploaded, n.runs);
+    EXPECT_EQ(r.stats.uploaded, n.runs);
 }
 
 TEST(Callers, ReadsAreAnswered)
 {
     relay r(SI_READ, 1, 0, 0);
     r.run(10000);
-    EXPECT_GT(r.tally.outcome[SI_ANSWERED], 10u);
+    EXPECT_GT(r.stats.outcome[SI_ANSWERED], 10u);
     EXPECT_EQ(0u, r.finish().crossed);
 }
 
-TEST(Callers, FeedIsEstablishedAndHears)
+TEST(Callers, FeedIsEstablishedAndNotified)
 {
     relay r(SI_FEED, 1, 0, 0);
     r.run(100000);
-    EXPECT_EQ(1u, r.tally.established);
-    EXPECT_GT(r.tally.notified, 150u);
+    EXPECT_EQ(1u, r.stats.established);
+    EXPECT_GT(r.stats.notified, 150u);
     EXPECT_EQ(0u, r.finish().broken);
 }
 
@@ -866,12 +868,12 @@
 {
     relay r(SI_FEED, 1, 0, 0);
     r.run(5000);
-    r.cut = true;
+    r.link_down = true;
     r.run(11000);
-    r.cut = false;
+    r.link_down = false;
     r.run(30000);
-    EXPECT_EQ(1u, r.tally.broken);
-    EXPECT_EQ(2u, r.tally.established);
+    EXPECT_EQ(1u, r.stats.broken);
+    EXPECT_EQ(2u, r.stats.established);
 }
 
 TEST(Callers, ResetBreaksAFeed)
@@ -881,31 +883,31 @@
     const uint8_t rst[4] = {0x70, 0, 0, 1};
     si_client_receive(r.c, r.now, rst, sizeof(rst));
     r.run(5000);
-    EXPECT_EQ(1u, r.tally.broken);
-    EXPECT_EQ(2u, r.tally.established);
+    EXPECT_EQ(1u, r.stats.broken);
+    EXPECT_EQ(2u, r.stats.established);
 }
 
 TEST(Callers, EchoFlowThatMovesIsBroken)
 {
     relay r(SI_ECHO, 1, 0, 0, true);
     r.run(10000);
-    EXPECT_GT(r.tally.outcome[SI_ANSWERED], 10u);
-    EXPECT_EQ(0u, r.tally.broken);
+    EXPECT_GT(r.stats.outcome[SI_ANSWERED], 10u);
+    EXPECT_EQ(0u, r.stats.broken);
     si_upstream_restart(r.u, r.now, 0, nullptr);
     r.run(5000);
-    EXPECT_EQ(1u, r.tally.broken);
+    EXPECT_EQ(1u, r.stats.broken);
 }
 
 TEST(Callers, AnswerOfAnotherClientIsCrossed)
 {
     relay r(SI_READ, 1, 0, 0);
     std::vector<uint8_t> sent;
-    while (r.wire.empty()) {
+    while (r.in_flight.empty()) {
         r.now += 5;
         si_client_tick(r.c, r.now);
     }
     coap_msg_t m;
-    sent = r.wire[0].bytes;
+    sent = r.in_flight[0].bytes;
     ASSERT_EQ(0, coap_decode(&m, sent.data(), sent.size()));
     m.type = COAP_T_ACK;
     m.code = COAP_CONTENT;
@@ -917,15 +919,15 @@
     int n = coap_encode(b, sizeof(b), &m);
     ASSERT_GT(n, 0);
     si_client_receive(r.c, r.now, b, (size_t)n);
-    EXPECT_EQ(1u, r.tally.crossed);
+    EXPECT_EQ(1u, r.stats.crossed);
 }
 
 // ---- Verdict ----
 
-static si_counts_t
-judge(std::vector<const char *> lines)
+static si_verdict_counts_t
+count_lines(std::vector<const char *> lines)
 {
-    si_counts_t n;
+    si_verdict_counts_t n;
     si_verdict_t *v = si_verdict_new();
     for (const char *l : lines) {
         si_verdict_line(v, l);
@@ -937,23 +939,23 @@
 
 TEST(Verdict, FindsEachFault)
 {
-    EXPECT_EQ(1u, judge({"run x id=a", "run x id=a"}).twice);
-    EXPECT_EQ(0u, judge({"run x id=-", "run x id=-"}).twice);
-    EXPECT_EQ(
-        1u, judge({"post id=a outcome=refused", "run x id=a"}).false_not_run);
-    EXPECT_EQ(
-        1u, judge({"run x id=a", "post id=a outcome=conflict"}).false_not_run);
-    EXPECT_EQ(1u, judge({"post id=a outcome=answered"}).never_ran);
-    EXPECT_EQ(1u, judge({"misdelivered service=s"}).misdelivered);
-    EXPECT_EQ(1u, judge({"crossed client=c"}).crossed);
-    EXPECT_EQ(1u, judge({"broken kind=feed"}).broken);
-    si_counts_t ok =
-        judge({"post id=a outcome=answered", "run x id=a",
-               "post id=b outcome=unknown", "run x id=b",
-               "post id=c outcome=timeout", "post id=d outcome=refused"});
+    EXPECT_EQ(1u, count_lines({"run x id=a", "run x id=a"}).executed_twice);
+    EXPECT_EQ(0u, count_lines({"run x id=-", "run x id=-"}).executed_twice);
+    EXPECT_EQ(1u, count_lines({"post id=a outcome=refused", "run x id=a"})
+                      .false_not_run);
+    EXPECT_EQ(1u, count_lines({"run x id=a", "post id=a outcome=conflict"})
+                      .false_not_run);
+    EXPECT_EQ(1u, count_lines({"post id=a outcome=answered"}).never_ran);
+    EXPECT_EQ(1u, count_lines({"misdelivered service=s"}).misdelivered);
+    EXPECT_EQ(1u, count_lines({"crossed client=c"}).crossed);
+    EXPECT_EQ(1u, count_lines({"broken kind=feed"}).broken);
+    si_verdict_counts_t ok = count_lines(
+        {"post id=a outcome=answered", "run x id=a",
+         "post id=b outcome=unknown", "run x id=b",
+         "post id=c outcome=timeout", "post id=d outcome=refused"});
     EXPECT_EQ(4u, ok.posts);
     EXPECT_EQ(2u, ok.runs);
-    EXPECT_EQ(0u, ok.twice + ok.false_not_run + ok.never_ran);
+    EXPECT_EQ(0u, ok.executed_twice + ok.false_not_run + ok.never_ran);
     EXPECT_EQ(1u, ok.unknown);
     EXPECT_EQ(1u, ok.unanswered);
 }
