--- a/standin/caller_main.c
+++ b/standin/caller_main.c
@@ -44,8 +44,7 @@
     slot_t *slot;
     size_t n;
     si_client_stats_t stats[SI_KINDS];
-    uint64_t undeliverable; /* datagrams dropped while the instance list was
-                               empty */
+    uint64_t undeliverable; /* dropped: the instance list was empty */
 } run_t;
 
 static void
@@ -315,7 +314,7 @@
         total += o->clients[k];
     }
     if (total == 0 || total > CLIENTS_MAX) {
-        fprintf(stderr, "si_caller: 1 to %d clients are expected\n",
+        fprintf(stderr, "si_caller: the number of clients must be 1 to %d\n",
                 CLIENTS_MAX);
         return 2;
     }
@@ -390,7 +389,7 @@
              a->from->count ? a->from->sval[0] : "127.9.0.1");
     if (addr_parse(&o->service, a->service->sval[0]) < 0 ||
         addr_parse(&o->from, text) < 0) {
-        fprintf(stderr, "si_caller: an address isn't IP:PORT\n");
+        fprintf(stderr, "si_caller: addresses must have the form IP:PORT\n");
         return -EINVAL;
     }
     for (int k = 0; k < SI_KINDS; k++) {
--- a/standin/client.c
+++ b/standin/client.c
@@ -8,8 +8,7 @@
 
 #define ID_LEN 40
 #define TEXT_LEN 320
-#define ECHOES_LOST_MAX                                                       \
-    5 /* consecutive lost datagrams that count as a broken flow */
+#define ECHOES_LOST_MAX 5 /* consecutive losses that break an echo flow */
 #define RETRY_MS 200 /* delay before an interrupted feed registers again */
 
 const char *const si_kind_names[SI_KINDS] = {"feed", "ack", "upload", "read",
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -184,7 +184,7 @@
         return reply(409, json_pack("{sI}", "revision", (json_int_t)have));
     }
     if (kv == NULL && (kv = kv_add(p, key)) == NULL) {
-        return si_reply_error(507, "no room for another key");
+        return si_reply_error(507, "limit of keys reached");
     }
     free(kv->previous);
     kv->previous = kv->value;
@@ -344,7 +344,7 @@
     g = reg_find(p, name);
     if (g == NULL && p->n_reg == INSTANCES_MAX) {
         json_decref(record);
-        return si_reply_error(507, "no room for another instance");
+        return si_reply_error(507, "limit of instances reached");
     }
     if (g == NULL) {
         g = &p->reg[p->n_reg++];
--- a/standin/rest.h
+++ b/standin/rest.h
@@ -12,9 +12,7 @@
 extern "C" {
 #endif
 
-#define SI_BODY_MAX                                                           \
-    (1024 * 1024) /* the platform accepts values up to 1 MB                   \
-                   */
+#define SI_BODY_MAX (1024 * 1024) /* the platform's limit of a value: 1 MB */
 
 typedef struct {
     const char *method, *path;
--- a/standin/tool.c
+++ b/standin/tool.c
@@ -3,7 +3,7 @@
 
 #include <signal.h>
 
-static volatile sig_atomic_t stop_asked;
+static volatile sig_atomic_t stop_requested;
 
 bool
 si_args(const char *name, int argc, char **argv, void **table,
@@ -50,7 +50,7 @@
 on_signal(int sig)
 {
     (void)sig;
-    stop_asked = 1;
+    stop_requested = 1;
 }
 
 void
@@ -65,5 +65,5 @@
 bool
 si_stop_asked(void)
 {
-    return stop_asked != 0;
+    return stop_requested != 0;
 }
--- a/standin/upstream.h
+++ b/standin/upstream.h
@@ -31,10 +31,10 @@
     uint16_t queue; /* limit of requests waiting for a slot */
     uint32_t connections;
     ms_t service_ms;
-    ms_t warmup_ms; /* warm-up after a start: requests take 5 times as long */
+    ms_t warmup_ms; /* after a start, when requests take 5 times as long */
     ms_t idle_ms;   /* a connection idle for longer is removed */
     ms_t load_lag_ms;
-    ms_t notify_interval_ms; /* interval between notifications */
+    ms_t notify_interval_ms;
     int con_every;
     ms_t ack_ms;
     uint32_t refusal_max_age_s; /* Max-Age of a refusal */
--- a/standin/upstream_main.c
+++ b/standin/upstream_main.c
@@ -133,7 +133,7 @@
     char *text = f != NULL ? calloc(1, CONF_TEXT_MAX + 1) : NULL;
 
     if (text == NULL) {
-        err_set(e, -ENOENT, "read", file, "it can't be read");
+        err_set(e, -ENOENT, "read", file, "the file can't be read");
     }
     else {
         text[fread(text, 1, CONF_TEXT_MAX, f)] = '\0';
@@ -222,13 +222,13 @@
             continue;
         }
         if (control(u, r) < 0) {
-            return si_reply_error(400, "do= restart, kill, drain, freeze or "
-                                       "lie is expected");
+            return si_reply_error(400, "do= must be restart, kill, drain, "
+                                       "freeze or lie");
         }
         done++;
     }
     if (done == 0) {
-        return si_reply_error(404, "no upstream has that addr=");
+        return si_reply_error(404, "no upstream has the address in addr=");
     }
     return (si_reply_t){.status = 200,
                         .body = json_pack("{si}", "upstreams", done)};
@@ -378,7 +378,8 @@
     pthread_mutex_init(&h->lock, NULL);
     h->fabric = si_fabric_open(platform, (uint64_t)getpid());
     if (h->fabric == NULL) {
-        err_set(e, -ENOMEM, "start", "", "no thread for the fabric");
+        err_set(e, -ENOMEM, "start", "",
+                "the fabric's thread can't be started");
     }
     else if (open_files(h, a->conf->filename, (size_t)a->conf->count, &p, e) ==
              0) {
--- a/standin/verdict.h
+++ b/standin/verdict.h
@@ -19,8 +19,7 @@
     uint64_t misdelivered;
     uint64_t crossed;
     uint64_t unknown;             /* outcome reported as unknown */
-    uint64_t restarted_after_run; /* completed upload that the caller was told
-                              to restart */
+    uint64_t restarted_after_run; /* completed upload answered 4.08 */
     uint64_t unanswered;          /* no outcome reported: timeout */
     uint64_t broken;              /* broken flows */
 } si_verdict_counts_t;
