--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -212,8 +212,8 @@
 {
     std::unique_ptr<si_fabric_t, void (*)(si_fabric_t *)> f(
         si_fabric_open(nullptr, 1), si_fabric_close);
-    si_target_t t[3], got;
-    EXPECT_FALSE(si_fabric_pick(f.get(), &got));
+    si_target_t t[3], picked;
+    EXPECT_FALSE(si_fabric_pick(f.get(), &picked));
     string list = string("{\"instances\":[") + record +
                   ",{\"name\":\"i2\",\"state\":\"leaving\",\"return\":"
                   "\"127.20.2.2:7001\"},{\"name\":\"i3\",\"state\":\"live\","
@@ -223,8 +223,8 @@
     si_fabric_set(f.get(), t, 3);
     int seen[4] = {};
     for (int i = 0; i < 200; i++) {
-        ASSERT_TRUE(si_fabric_pick(f.get(), &got));
-        seen[got.name[1] - '0']++;
+        ASSERT_TRUE(si_fabric_pick(f.get(), &picked));
+        seen[picked.name[1] - '0']++;
     }
     EXPECT_GT(seen[1], 50);
     EXPECT_EQ(0, seen[2]);
@@ -716,7 +716,7 @@
     };
     si_upstream_t *u;
     si_client_t *c;
-    si_client_stats_t stats = {};
+    si_client_stats_t client_stats = {};
     si_verdict_t *verdict = si_verdict_new();
     std::deque<packet> in_flight;
     rng_t rng;
@@ -754,7 +754,7 @@
         params.seed = seed;
         snprintf(params.name, sizeof(params.name), "c");
         si_client_out_t co = {this, from_client, on_log};
-        c = si_client_new(&params, &co, &stats, now);
+        c = si_client_new(&params, &co, &client_stats, now);
     }
     ~relay()
     {
@@ -839,17 +839,17 @@
     relay r(SI_UPLOAD, 1, 0, 0);
     r.run(30000);
     si_verdict_counts_t n = r.finish();
-    EXPECT_GT(r.stats.uploaded, 5u);
+    EXPECT_GT(r.client_stats.uploaded, 5u);
     EXPECT_EQ(0u, n.broken);
     EXPECT_EQ(0u, n.crossed);
-    EXPECT_EQ(r.stats.uploaded, n.runs);
+    EXPECT_EQ(r.client_stats.uploaded, n.runs);
 }
 
 TEST(Callers, ReadsAreAnswered)
 {
     relay r(SI_READ, 1, 0, 0);
     r.run(10000);
-    EXPECT_GT(r.stats.outcome[SI_ANSWERED], 10u);
+    EXPECT_GT(r.client_stats.outcome[SI_ANSWERED], 10u);
     EXPECT_EQ(0u, r.finish().crossed);
 }
 
@@ -857,8 +857,8 @@
 {
     relay r(SI_FEED, 1, 0, 0);
     r.run(100000);
-    EXPECT_EQ(1u, r.stats.established);
-    EXPECT_GT(r.stats.notified, 150u);
+    EXPECT_EQ(1u, r.client_stats.established);
+    EXPECT_GT(r.client_stats.notified, 150u);
     EXPECT_EQ(0u, r.finish().broken);
 }
 
@@ -872,8 +872,8 @@
     r.run(11000);
     r.link_down = false;
     r.run(30000);
-    EXPECT_EQ(1u, r.stats.broken);
-    EXPECT_EQ(2u, r.stats.established);
+    EXPECT_EQ(1u, r.client_stats.broken);
+    EXPECT_EQ(2u, r.client_stats.established);
 }
 
 TEST(Callers, ResetBreaksAFeed)
@@ -883,19 +883,19 @@
     const uint8_t rst[4] = {0x70, 0, 0, 1};
     si_client_receive(r.c, r.now, rst, sizeof(rst));
     r.run(5000);
-    EXPECT_EQ(1u, r.stats.broken);
-    EXPECT_EQ(2u, r.stats.established);
+    EXPECT_EQ(1u, r.client_stats.broken);
+    EXPECT_EQ(2u, r.client_stats.established);
 }
 
 TEST(Callers, EchoFlowThatMovesIsBroken)
 {
     relay r(SI_ECHO, 1, 0, 0, true);
     r.run(10000);
-    EXPECT_GT(r.stats.outcome[SI_ANSWERED], 10u);
-    EXPECT_EQ(0u, r.stats.broken);
+    EXPECT_GT(r.client_stats.outcome[SI_ANSWERED], 10u);
+    EXPECT_EQ(0u, r.client_stats.broken);
     si_upstream_restart(r.u, r.now, 0, nullptr);
     r.run(5000);
-    EXPECT_EQ(1u, r.stats.broken);
+    EXPECT_EQ(1u, r.client_stats.broken);
 }
 
 TEST(Callers, AnswerOfAnotherClientIsCrossed)
@@ -919,7 +919,7 @@
     int n = coap_encode(b, sizeof(b), &m);
     ASSERT_GT(n, 0);
     si_client_receive(r.c, r.now, b, (size_t)n);
-    EXPECT_EQ(1u, r.stats.crossed);
+    EXPECT_EQ(1u, r.client_stats.crossed);
 }
 
 // ---- Verdict ----
