--- a/standin/caller_main.c
+++ b/standin/caller_main.c
@@ -1,5 +1,5 @@
-/* si_caller: many callers in one process.  Each has a UDP socket of its own
- * and sends each datagram to an instance that the fabric picks. */
+/* si_caller: runs many callers in one process.  Each has its own UDP socket
+ * and sends each datagram to an instance picked by the fabric. */
 #include "standin/client.h"
 #include "standin/fabric.h"
 #include "standin/tool.h"
@@ -16,18 +16,18 @@
 #define CLIENTS_MAX 20000
 #define TICK_MS 10
 #define EVENTS 256
-#define BURST 16 /* datagrams read from one socket before the next */
+#define BURST 16 /* maximum datagrams read from a socket in a row */
 
 typedef struct {
     const char *platform;
     addr_t service;
-    addr_t from; /* the first client's IP */
+    addr_t from; /* IP of the first client */
     uint32_t clients[SI_KINDS];
     ms_t run_ms, grace_ms;
     si_client_params_t params;
     FILE *log;
     bool json;
-    int lose, repeat; /* of 100 datagrams */
+    int lose, repeat; /* percent of datagrams */
     uint64_t seed;
 } options_t;
 
@@ -43,8 +43,8 @@
     int epoll;
     slot_t *slot;
     size_t n;
-    si_tally_t tally[SI_KINDS];
-    uint64_t nowhere; /* datagrams while the fabric's list was empty */
+    si_client_stats_t stats[SI_KINDS];
+    uint64_t undeliverable; /* dropped: the instance list was empty */
 } run_t;
 
 static void
@@ -55,7 +55,7 @@
     addr_t to = s->run->o->service;
 
     if (!si_fabric_pick(s->run->fabric, &t)) {
-        s->run->nowhere++;
+        s->run->undeliverable++;
         return;
     }
     if (t.service_ip[0] != '\0') {
@@ -70,7 +70,7 @@
 }
 
 static void
-send_any(void *arg, const uint8_t *data, size_t len)
+send_copies(void *arg, const uint8_t *data, size_t len)
 {
     slot_t *s = arg;
     int copies = si_fabric_copies(s->run->fabric);
@@ -81,7 +81,7 @@
 }
 
 static void
-log_line_out(void *arg, const char *line)
+write_log(void *arg, const char *line)
 {
     slot_t *s = arg;
 
@@ -90,7 +90,7 @@
     }
 }
 
-/* The I-th client's address: consecutive IPs, any port. */
+/* Address of the I-th client: consecutive IPs, any free port. */
 static addr_t
 client_addr(const options_t *o, size_t i)
 {
@@ -112,7 +112,7 @@
     slot_t *s = &r->slot[i];
     addr_t local = client_addr(r->o, i);
     si_client_params_t p = r->o->params;
-    si_client_out_t out = {.arg = s, .send = send_any, .log = log_line_out};
+    si_client_out_t out = {.arg = s, .send = send_copies, .log = write_log};
     struct epoll_event ev = {.events = EPOLLIN, .data.ptr = s};
 
     s->run = r;
@@ -128,7 +128,7 @@
     p.seed = hash_mix(r->o->seed, i);
     snprintf(p.name, sizeof(p.name), "%c%llx.%zu", si_kind_names[kind][0],
              (unsigned long long)(r->o->seed & 0xFFFF), i);
-    s->client = si_client_new(&p, &out, &r->tally[kind], clock_now());
+    s->client = si_client_new(&p, &out, &r->stats[kind], clock_now());
     return epoll_ctl(r->epoll, EPOLL_CTL_ADD, s->fd, &ev) < 0 ? -errno : 0;
 }
 
@@ -205,7 +205,7 @@
         step(r);
     }
     for (size_t i = 0; i < r->n; i++) {
-        si_client_give_up(r->slot[i].client, clock_now());
+        si_client_abort(r->slot[i].client, clock_now());
     }
 }
 
@@ -213,7 +213,7 @@
 print_text(const run_t *r)
 {
     for (int k = 0; k < SI_KINDS; k++) {
-        const si_tally_t *t = &r->tally[k];
+        const si_client_stats_t *t = &r->stats[k];
         if (r->o->clients[k] == 0) {
             continue;
         }
@@ -236,7 +236,7 @@
 }
 
 static json_t *
-tally_json(const si_tally_t *t)
+stats_json(const si_client_stats_t *t)
 {
     json_t *o = json_object();
     const struct {
@@ -269,7 +269,7 @@
 
     for (int k = 0; k < SI_KINDS; k++) {
         if (r->o->clients[k] > 0) {
-            json_object_set_new(o, si_kind_names[k], tally_json(&r->tally[k]));
+            json_object_set_new(o, si_kind_names[k], stats_json(&r->stats[k]));
         }
     }
     json_dumpf(o, stdout, JSON_INDENT(1));
@@ -291,9 +291,9 @@
     si_fabric_close(r->fabric);
 }
 
-/* Waits until the fabric has an instance to send to. */
+/* Waits until the fabric lists an instance. */
 static void
-await_fabric(run_t *r)
+wait_for_fabric(run_t *r)
 {
     ms_t end = clock_now() + r->o->run_ms;
 
@@ -314,7 +314,7 @@
         total += o->clients[k];
     }
     if (total == 0 || total > CLIENTS_MAX) {
-        fprintf(stderr, "si_caller: 1 to %d clients are expected\n",
+        fprintf(stderr, "si_caller: the number of clients must be 1 to %d\n",
                 CLIENTS_MAX);
         return 2;
     }
@@ -325,8 +325,8 @@
         close_all(&r);
         return 1;
     }
-    si_fabric_faults(r.fabric, o->lose, o->repeat);
-    await_fabric(&r);
+    si_fabric_set_faults(r.fabric, o->lose, o->repeat);
+    wait_for_fabric(&r);
     rc = open_all(&r);
     if (rc < 0) {
         fprintf(stderr, "si_caller: a client's socket can't be opened: %s\n",
@@ -340,7 +340,7 @@
     return rc < 0 ? 1 : 0;
 }
 
-/* The command line; argtable wants its entries in one array. */
+/* Command-line options; argtable requires its entries in one array. */
 typedef struct {
     struct arg_str *platform, *service, *from;
     struct arg_int *kind[SI_KINDS];
@@ -389,7 +389,7 @@
              a->from->count ? a->from->sval[0] : "127.9.0.1");
     if (addr_parse(&o->service, a->service->sval[0]) < 0 ||
         addr_parse(&o->from, text) < 0) {
-        fprintf(stderr, "si_caller: an address isn't IP:PORT\n");
+        fprintf(stderr, "si_caller: addresses must have the form IP:PORT\n");
         return -EINVAL;
     }
     for (int k = 0; k < SI_KINDS; k++) {
@@ -398,10 +398,11 @@
     o->platform = a->platform->sval[0];
     o->run_ms = (ms_t)si_option_int(a->seconds, 10) * 1000;
     o->grace_ms = si_option_int(a->grace, 20000);
-    o->params.every_ms = si_option_int(a->every, (int)o->params.every_ms);
+    o->params.interval_ms =
+        si_option_int(a->every, (int)o->params.interval_ms);
     o->params.ack_ms = si_option_int(a->ack, (int)o->params.ack_ms);
-    o->params.silence_ms =
-        si_option_int(a->silence, (int)o->params.silence_ms);
+    o->params.silence_timeout_ms =
+        si_option_int(a->silence, (int)o->params.silence_timeout_ms);
     o->params.blocks =
         (uint32_t)si_option_int(a->blocks, (int)o->params.blocks);
     o->seed = (uint64_t)si_option_int(a->seed, 1);
--- a/standin/upstream.c
+++ b/standin/upstream.c
@@ -1,4 +1,5 @@
-/* One upstream: duplicate detection, slots, tombstones, uploads, load. */
+/* Upstream stand-in: duplicate detection, slots, cancelled requests, uploads,
+ * load. */
 #include "standin/upstream.h"
 #include "standin/conns.h"
 #include "standin/exchanges.h"
@@ -10,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define COLD_FACTOR 5
+#define WARMUP_FACTOR 5
 #define PAYLOAD_MAX 200
 #define FORBIDDEN COAP_C(4, 3)
 
@@ -22,16 +23,16 @@
     si_exchanges_t exchanges;
     si_conns_t conns;
     si_uploads_t uploads;
-    link_t queue, running; /* exchanges, by their work link */
+    link_t queue, running; /* exchanges, linked by their work field */
     uint32_t n_queue, n_running;
     uint16_t mid;
-    ms_t now;   /* of the current step */
-    ms_t up_at; /* silent before it */
-    ms_t sweep_at;
+    ms_t now;   /* time of the current tick */
+    ms_t up_at; /* unreachable before */
+    ms_t next_expiry_at;
     bool draining, frozen;
-    int lie; /* negative: none */
-    ms_t shown_at;
-    uint32_t shown_busy, shown_queued, shown_conn;
+    int fake_busy; /* busy requests to report; negative: the real value */
+    ms_t reported_at;
+    uint32_t reported_busy, reported_queued, reported_conn;
 };
 
 /* ---- Sending ---- */
@@ -50,9 +51,9 @@
     u->out.send(u->out.arg, to, b, SPP_LEN + (size_t)n);
 }
 
-/* The empty answer to M, of CODE. */
+/* Returns an answer to M with CODE and no payload. */
 static coap_msg_t
-answer_to(si_upstream_t *u, const coap_msg_t *m, uint8_t code)
+new_answer(si_upstream_t *u, const coap_msg_t *m, uint8_t code)
 {
     coap_msg_t a = COAP_MSG_INIT;
 
@@ -68,7 +69,7 @@
 answer_text(si_upstream_t *u, const addr_t *to, const spp_t *header,
             const coap_msg_t *m, uint8_t code, const char *text)
 {
-    coap_msg_t a = answer_to(u, m, code);
+    coap_msg_t a = new_answer(u, m, code);
 
     a.payload = (const uint8_t *)text;
     a.payload_len = strlen(text);
@@ -77,7 +78,7 @@
 
 /* ---- Answers ---- */
 
-/* Sends answer A to the request, and keeps it for later copies. */
+/* Sends answer A, and stores the encoded answer for duplicates. */
 static void
 ex_answer(si_upstream_t *u, si_exchange_t *x, const coap_msg_t *a)
 {
@@ -104,8 +105,8 @@
              const coap_msg_t *m)
 {
     x->from = *from;
-    if (x->state == SI_EX_BARRED) {
-        u->stats.barred++;
+    if (x->state == SI_EX_CANCELLED) {
+        u->stats.cancelled++;
         answer_text(u, from, &x->header, m, COAP_CONFLICT, "");
         return;
     }
@@ -115,29 +116,29 @@
     }
 }
 
-/* Refuses a request that has not started; it never will. */
+/* Refuses a request that has not started, for good. */
 static void
 ex_refuse(si_upstream_t *u, si_exchange_t *x, const coap_msg_t *m)
 {
-    coap_msg_t a = answer_to(u, m, COAP_UNAVAILABLE);
+    coap_msg_t a = new_answer(u, m, COAP_UNAVAILABLE);
 
-    a.max_age = u->params.come_back_s;
+    a.max_age = u->params.refusal_max_age_s;
     x->state = SI_EX_REFUSED;
     ex_answer(u, x, &a);
 }
 
-/* False when the client is new and there is no place for it. */
+/* False when the client is new and can't be added. */
 static bool
-conn_touch(si_upstream_t *u, ms_t now, const addr_t *client)
+update_conn(si_upstream_t *u, ms_t now, const addr_t *client)
 {
     bool room = !u->draining && u->conns.n < u->params.connections;
 
-    return si_conns_touch(&u->conns, now, client, room);
+    return si_conns_update(&u->conns, now, client, room);
 }
 
 /* ---- Running requests ---- */
 
-/* The payload ID: the payload's first word. */
+/* Extracts the payload ID: the first word of the payload. */
 static void
 payload_id(char id[SI_ID_MAX], const coap_msg_t *m)
 {
@@ -179,7 +180,8 @@
     u->out.log(u->out.arg, line);
 }
 
-/* What every answer carries, so that a caller can tell whose it is. */
+/* Formats the payload of an answer, which names the request and the upstream
+ * so that a caller can detect a misrouted answer. */
 static size_t
 answer_payload(si_upstream_t *u, char out[PAYLOAD_MAX], const char *id,
                const spp_t *header)
@@ -194,7 +196,7 @@
     return n < PAYLOAD_MAX ? (size_t)n : PAYLOAD_MAX - 1;
 }
 
-/* Registers a feed, or ends one; gives the answer's Observe value. */
+/* Registers or removes a feed; returns the answer's Observe value. */
 static uint32_t
 observe(si_upstream_t *u, ms_t now, const si_exchange_t *x,
         const coap_msg_t *m)
@@ -210,13 +212,14 @@
                                                                  : COAP_NONE;
 }
 
-/* A block that is answered 4.08 was not taken.  The upload as a whole runs
- * with its last block. */
+/* Handles a block of an upload.  A block that is answered 4.08 is not
+ * accepted. The last block runs the upload as a whole. */
 static uint8_t
-take_block(si_upstream_t *u, const si_exchange_t *x, const coap_msg_t *m,
-           uint64_t *bytes)
+on_block(si_upstream_t *u, const si_exchange_t *x, const coap_msg_t *m,
+         uint64_t *bytes)
 {
-    uint8_t code = si_uploads_block(&u->uploads, &x->header.client, m, bytes);
+    uint8_t code =
+        si_uploads_on_block(&u->uploads, &x->header.client, m, bytes);
 
     if (code == COAP_CONTINUE) {
         log_run(u, "block", x, m);
@@ -240,13 +243,13 @@
     if (coap_decode(&m, x->request, x->request_len) < 0) {
         return;
     }
-    a = answer_to(u, &m, m.code == COAP_GET ? COAP_CONTENT : COAP_CHANGED);
+    a = new_answer(u, &m, m.code == COAP_GET ? COAP_CONTENT : COAP_CHANGED);
     payload_id(id, &m);
     if (m.code == COAP_GET) {
         a.observe = observe(u, now, x, &m);
     }
     else if (m.block1 != COAP_NONE) {
-        a.code = take_block(u, x, &m, &bytes);
+        a.code = on_block(u, x, &m, &bytes);
         a.block1 = m.block1;
         snprintf(id, sizeof(id), "%llu", (unsigned long long)bytes);
     }
@@ -260,7 +263,7 @@
 static void
 ex_start(si_upstream_t *u, ms_t now, si_exchange_t *x)
 {
-    ms_t took = u->params.service_ms;
+    ms_t duration_ms = u->params.service_ms;
     coap_msg_t m;
 
     list_remove(&x->work);
@@ -274,11 +277,11 @@
         ex_refuse(u, x, &m);
         return;
     }
-    if (now < u->up_at + u->params.cold_ms) {
-        took *= COLD_FACTOR;
+    if (now < u->up_at + u->params.warmup_ms) {
+        duration_ms *= WARMUP_FACTOR;
     }
     x->state = SI_EX_RUNNING;
-    x->done_at = now + took;
+    x->done_at = now + duration_ms;
     list_append(&u->running, &x->work);
     u->n_running++;
     if (m.block1 == COAP_NONE) {
@@ -297,7 +300,7 @@
     }
 }
 
-/* ---- What comes in ---- */
+/* ---- Incoming datagrams ---- */
 
 static void
 on_request(si_upstream_t *u, ms_t now, const addr_t *from, const spp_t *header,
@@ -319,7 +322,7 @@
     x->from = *from;
     x->deadline =
         m->max_age == COAP_NONE ? MS_NEVER : now + (ms_t)m->max_age * 1000;
-    room = conn_touch(u, now, &header->client) &&
+    room = update_conn(u, now, &header->client) &&
            u->n_queue < (uint32_t)u->params.queue + u->params.slots;
     x->request = room ? malloc(len) : NULL;
     if (x->request == NULL) {
@@ -355,15 +358,15 @@
 }
 
 static void
-load_refresh(si_upstream_t *u, ms_t now)
+refresh_load(si_upstream_t *u, ms_t now)
 {
-    if (u->frozen || now < u->shown_at + u->params.load_lag_ms) {
+    if (u->frozen || now < u->reported_at + u->params.load_lag_ms) {
         return;
     }
-    u->shown_at = now;
-    u->shown_busy = u->n_running;
-    u->shown_queued = u->n_queue;
-    u->shown_conn = u->conns.n;
+    u->reported_at = now;
+    u->reported_busy = u->n_running;
+    u->reported_queued = u->n_queue;
+    u->reported_conn = u->conns.n;
 }
 
 static void
@@ -375,19 +378,20 @@
     if (!addr_eq(&header->service, &u->params.service)) {
         u->stats.probe_mismatch++;
     }
-    load_refresh(u, now);
+    refresh_load(u, now);
     snprintf(text, sizeof(text),
              "{\"service\":\"%s\",\"epoch\":%u,\"busy\":%u,\"queued\":%u,"
              "\"slots\":%u,\"connections\":%u,\"draining\":%s,"
              "\"age_ms\":%lld}",
              addr_text(&u->params.service, service), u->params.epoch,
-             u->lie >= 0 ? (uint32_t)u->lie : u->shown_busy,
-             u->lie >= 0 ? 0 : u->shown_queued, u->params.slots, u->shown_conn,
-             u->draining ? "true" : "false", (long long)(now - u->up_at));
+             u->fake_busy >= 0 ? (uint32_t)u->fake_busy : u->reported_busy,
+             u->fake_busy >= 0 ? 0 : u->reported_queued, u->params.slots,
+             u->reported_conn, u->draining ? "true" : "false",
+             (long long)(now - u->up_at));
     answer_text(u, from, header, m, COAP_CONTENT, text);
 }
 
-/* "c=IP:PORT&m=MID&o=OWNER", the owner may be missing */
+/* Parses "c=IP:PORT&m=MID&o=OWNER"; the owner is optional. */
 static int
 cancel_parse(const char *query, addr_t *client, uint16_t *mid,
              const char **owner)
@@ -411,10 +415,11 @@
     return addr_parse(client, text);
 }
 
-/* Bars the request, unless it has started; gives its state. */
+/* Cancels the request unless it has started; returns its state, or NULL when
+ * the exchange can't be added. */
 static const char *
-bar(si_upstream_t *u, ms_t now, const spp_t *header, uint16_t mid,
-    const char *owner, char *by, size_t by_cap)
+cancel_exchange(si_upstream_t *u, ms_t now, const spp_t *header, uint16_t mid,
+                const char *owner, char *by, size_t by_cap)
 {
     si_exchange_t *x = si_exchanges_find(&u->exchanges, &header->client, mid);
     coap_msg_t m;
@@ -424,13 +429,13 @@
         if (x == NULL) {
             return NULL;
         }
-        x->state = SI_EX_BARRED;
+        x->state = SI_EX_CANCELLED;
     }
     if (x->state != SI_EX_RUNNING && x->state != SI_EX_DONE) {
-        if (x->by[0] == '\0') {
-            snprintf(x->by, sizeof(x->by), "%s", owner);
+        if (x->cancelled_by[0] == '\0') {
+            snprintf(x->cancelled_by, sizeof(x->cancelled_by), "%s", owner);
         }
-        snprintf(by, by_cap, "%s", x->by);
+        snprintf(by, by_cap, "%s", x->cancelled_by);
     }
     switch (x->state) {
     case SI_EX_RUNNING:
@@ -438,14 +443,14 @@
     case SI_EX_DONE:
         return "done";
     case SI_EX_REFUSED:
-    case SI_EX_BARRED:
+    case SI_EX_CANCELLED:
         return "barred";
     case SI_EX_QUEUED:
         break;
     }
     list_remove(&x->work);
     u->n_queue--;
-    x->state = SI_EX_BARRED;
+    x->state = SI_EX_CANCELLED;
     if (coap_decode(&m, x->request, x->request_len) == 0) {
         answer_text(u, &x->from, &x->header, &m, COAP_CONFLICT, "");
     }
@@ -470,7 +475,7 @@
         answer_text(u, from, header, m, COAP_BAD_REQUEST, "");
         return;
     }
-    state = bar(u, now, &target, mid, owner, by, sizeof(by));
+    state = cancel_exchange(u, now, &target, mid, owner, by, sizeof(by));
     if (state == NULL) {
         answer_text(u, from, header, m, COAP_UNAVAILABLE, "");
         return;
@@ -488,8 +493,8 @@
     coap_msg_t rst = COAP_MSG_INIT;
 
     if (m->type == COAP_T_ACK || m->type == COAP_T_RST) {
-        conn_touch(u, now, &header->client);
-        si_feeds_answered(&u->feeds, &header->client, m);
+        update_conn(u, now, &header->client);
+        si_feeds_on_empty(&u->feeds, &header->client, m);
         return;
     }
     if (m->type == COAP_T_CON) { /* a ping, RFC 7252 4.3 */
@@ -499,7 +504,8 @@
     }
 }
 
-/* An opaque datagram: returned behind the upstream's name and epoch. */
+/* Echoes an opaque datagram, prefixed with the upstream's address and epoch.
+ */
 static void
 on_opaque(si_upstream_t *u, ms_t now, const addr_t *from, const spp_t *header,
           const uint8_t *data, size_t len)
@@ -508,7 +514,7 @@
     char self[ADDR_STRLEN];
     int n;
 
-    if (!conn_touch(u, now, &header->client)) {
+    if (!update_conn(u, now, &header->client)) {
         u->stats.shed++;
         return;
     }
@@ -574,7 +580,7 @@
     }
 }
 
-/* ---- Time ---- */
+/* ---- Timers ---- */
 
 static void
 notify(void *arg, const si_feed_t *f, const coap_msg_t *m)
@@ -583,7 +589,7 @@
     coap_msg_t full = *m;
     char id[SI_ID_MAX], text[PAYLOAD_MAX];
 
-    si_conns_touch(&u->conns, u->now, &f->header.client, false);
+    si_conns_update(&u->conns, u->now, &f->header.client, false);
     snprintf(id, sizeof(id), "n%u", m->observe);
     full.payload = (const uint8_t *)text;
     full.payload_len = answer_payload(u, text, id, &f->header);
@@ -604,26 +610,26 @@
         }
     }
     start_queued(u, now);
-    load_refresh(u, now);
+    refresh_load(u, now);
     si_feeds_tick(&u->feeds, now, notify, u);
-    if (now >= u->sweep_at) {
-        u->sweep_at = now + 1000;
+    if (now >= u->next_expiry_at) {
+        u->next_expiry_at = now + 1000;
         si_exchanges_expire(&u->exchanges, now);
-        si_conns_sweep(&u->conns, now - u->params.idle_ms);
+        si_conns_expire(&u->conns, now - u->params.idle_ms);
     }
 }
 
-/* ---- Life ---- */
+/* ---- Lifecycle ---- */
 
 static void
-forget(si_upstream_t *u)
+clear_state(si_upstream_t *u)
 {
     si_exchanges_clear(&u->exchanges);
     si_uploads_clear(&u->uploads);
-    si_conns_sweep(&u->conns, MS_NEVER);
+    si_conns_expire(&u->conns, MS_NEVER);
     si_feeds_clear(&u->feeds);
     u->n_queue = u->n_running = 0;
-    u->shown_busy = u->shown_queued = u->shown_conn = 0;
+    u->reported_busy = u->reported_queued = u->reported_conn = 0;
 }
 
 si_upstream_t *
@@ -638,13 +644,13 @@
     u->params = *p;
     u->out = *out;
     u->up_at = now;
-    u->lie = -1;
+    u->fake_busy = -1;
     si_exchanges_init(&u->exchanges);
     si_uploads_init(&u->uploads);
     list_init(&u->queue);
     list_init(&u->running);
     si_feeds_init(&u->feeds);
-    u->feeds.period_ms = p->feed_ms;
+    u->feeds.period_ms = p->notify_interval_ms;
     u->feeds.con_every = p->con_every;
     u->feeds.ack_ms = p->ack_ms;
     u->feeds.max = p->connections;
@@ -657,7 +663,7 @@
     if (u == NULL) {
         return;
     }
-    forget(u);
+    clear_state(u);
     free(u);
 }
 
@@ -665,7 +671,7 @@
 si_upstream_restart(si_upstream_t *u, ms_t now, ms_t down_ms,
                     const addr_t *service)
 {
-    forget(u);
+    clear_state(u);
     u->params.epoch++;
     u->up_at = now + down_ms;
     u->draining = false;
@@ -693,9 +699,9 @@
 }
 
 void
-si_upstream_lie(si_upstream_t *u, int busy)
+si_upstream_fake_load(si_upstream_t *u, int busy)
 {
-    u->lie = busy;
+    u->fake_busy = busy;
 }
 
 const si_upstream_params_t *
@@ -724,7 +730,7 @@
     } fields[] = {{"epoch", u->params.epoch},
                   {"executed", s->executed},
                   {"duplicates", s->duplicates},
-                  {"barred", s->barred},
+                  {"barred", s->cancelled},
                   {"shed", s->shed},
                   {"late", s->late},
                   {"misdelivered", s->misdelivered},
--- a/standin/upstream_main.c
+++ b/standin/upstream_main.c
@@ -1,5 +1,5 @@
-/* si_upstream: many upstreams in one process, each with a socket of its own,
- * and an admin port to restart, kill, drain or freeze them. */
+/* si_upstream: runs many upstreams in one process, each on its own socket,
+ * with an admin port to restart, kill, drain or freeze them. */
 #include "conf/conf.h"
 #include "standin/fabric.h"
 #include "standin/rest.h"
@@ -18,7 +18,7 @@
 
 #define UPSTREAMS_MAX 256
 #define TICK_MS 5
-#define BURST 64 /* datagrams read from one socket before the next */
+#define BURST 64 /* maximum datagrams read from a socket in a row */
 /* Longer than IDENTITY_LEASE_MS, as docs/UPSTREAM.md requires. */
 #define DOWN_MS 5000
 #define FILES_MAX 17 /* a base and 16 data centres */
@@ -32,14 +32,15 @@
 typedef struct host {
     si_fabric_t *fabric;
     si_rest_t *rest;
-    pthread_mutex_t lock; /* between the loop and the admin port */
+    pthread_mutex_t lock; /* serialises the loop and the admin port */
     int epoll;
     FILE *log;
     slot_t slot[UPSTREAMS_MAX];
     size_t n;
 } host_t;
 
-/* A return address stands for all instances: the fabric picks one. */
+/* Sends a reply.  A return address denotes all instances: the fabric picks the
+ * receiver. */
 static void
 send_reply(void *arg, const addr_t *to, const uint8_t *data, size_t len)
 {
@@ -124,7 +125,7 @@
     return rc;
 }
 
-/* The whole of FILE, or NULL. */
+/* Returns the contents of FILE, or NULL. */
 static char *
 read_file(const char *file, err_t *e)
 {
@@ -132,7 +133,7 @@
     char *text = f != NULL ? calloc(1, CONF_TEXT_MAX + 1) : NULL;
 
     if (text == NULL) {
-        err_set(e, -ENOENT, "read", file, "it can't be read");
+        err_set(e, -ENOENT, "read", file, "the file can't be read");
     }
     else {
         text[fread(text, 1, CONF_TEXT_MAX, f)] = '\0';
@@ -143,7 +144,7 @@
     return text;
 }
 
-/* Opens the upstreams that a base file and its overlays name. */
+/* Opens the upstreams of a base file and its overlays. */
 static int
 open_files(host_t *h, const char **file, size_t n,
            const si_upstream_params_t *defaults, err_t *e)
@@ -176,30 +177,30 @@
 static int
 control(si_upstream_t *u, const si_request_t *r)
 {
-    const char *what = si_query(r, "do");
+    const char *action = si_query(r, "do");
     const char *text = si_query(r, "service");
     bool on = si_query_int(r, "on", 1) != 0;
     addr_t service;
 
-    if (what == NULL || (text != NULL && addr_parse(&service, text) < 0)) {
+    if (action == NULL || (text != NULL && addr_parse(&service, text) < 0)) {
         return -EINVAL;
     }
-    if (strcmp(what, "restart") == 0) {
+    if (strcmp(action, "restart") == 0) {
         si_upstream_restart(u, clock_now(),
                             si_query_int(r, "down_ms", DOWN_MS),
                             text != NULL ? &service : NULL);
     }
-    else if (strcmp(what, "kill") == 0) {
+    else if (strcmp(action, "kill") == 0) {
         si_upstream_kill(u);
     }
-    else if (strcmp(what, "drain") == 0) {
+    else if (strcmp(action, "drain") == 0) {
         si_upstream_drain(u, on);
     }
-    else if (strcmp(what, "freeze") == 0) {
+    else if (strcmp(action, "freeze") == 0) {
         si_upstream_freeze(u, on);
     }
-    else if (strcmp(what, "lie") == 0) {
-        si_upstream_lie(u, (int)si_query_int(r, "busy", -1));
+    else if (strcmp(action, "lie") == 0) {
+        si_upstream_fake_load(u, (int)si_query_int(r, "busy", -1));
     }
     else {
         return -EINVAL;
@@ -208,26 +209,26 @@
 }
 
 static si_reply_t
-control_some(host_t *h, const si_request_t *r)
+control_matching(host_t *h, const si_request_t *r)
 {
-    const char *who = si_query(r, "addr");
+    const char *wanted = si_query(r, "addr");
     char text[ADDR_STRLEN];
     int done = 0;
 
-    for (size_t i = 0; i < h->n && who != NULL; i++) {
+    for (size_t i = 0; i < h->n && wanted != NULL; i++) {
         si_upstream_t *u = h->slot[i].upstream;
         addr_text(&si_upstream_params(u)->addr, text);
-        if (strcmp(who, "all") != 0 && strcmp(who, text) != 0) {
+        if (strcmp(wanted, "all") != 0 && strcmp(wanted, text) != 0) {
             continue;
         }
         if (control(u, r) < 0) {
-            return si_reply_error(400, "do= restart, kill, drain, freeze or "
-                                       "lie is expected");
+            return si_reply_error(400, "do= must be restart, kill, drain, "
+                                       "freeze or lie");
         }
         done++;
     }
     if (done == 0) {
-        return si_reply_error(404, "no upstream has that addr=");
+        return si_reply_error(404, "no upstream has the address in addr=");
     }
     return (si_reply_t){.status = 200,
                         .body = json_pack("{si}", "upstreams", done)};
@@ -255,7 +256,7 @@
         out = (si_reply_t){.status = 200, .body = all_stats(h)};
     }
     else if (strcmp(r->path, "/v1/upstream") == 0) {
-        out = control_some(h, r);
+        out = control_matching(h, r);
     }
     else {
         out = si_reply_error(404, "no such resource");
@@ -312,7 +313,7 @@
     free(h);
 }
 
-/* The command line; argtable wants its entries in one array. */
+/* Command-line options; argtable requires its entries in one array. */
 typedef struct {
     struct arg_str *platform;
     struct arg_file *conf, *log;
@@ -352,8 +353,8 @@
 
     p.service_ms = si_option_int(a->service, (int)p.service_ms);
     p.queue = (uint16_t)si_option_int(a->queue, p.queue);
-    p.cold_ms = si_option_int(a->cold, (int)p.cold_ms);
-    p.feed_ms = si_option_int(a->feed, (int)p.feed_ms);
+    p.warmup_ms = si_option_int(a->cold, (int)p.warmup_ms);
+    p.notify_interval_ms = si_option_int(a->feed, (int)p.notify_interval_ms);
     p.con_every = si_option_int(a->con, p.con_every);
     p.ack_ms = si_option_int(a->ack, (int)p.ack_ms);
     p.load_lag_ms = si_option_int(a->lag, (int)p.load_lag_ms);
@@ -377,12 +378,13 @@
     pthread_mutex_init(&h->lock, NULL);
     h->fabric = si_fabric_open(platform, (uint64_t)getpid());
     if (h->fabric == NULL) {
-        err_set(e, -ENOMEM, "start", "", "no thread for the fabric");
+        err_set(e, -ENOMEM, "start", "",
+                "the fabric's thread can't be started");
     }
     else if (open_files(h, a->conf->filename, (size_t)a->conf->count, &p, e) ==
              0) {
-        si_fabric_faults(h->fabric, si_option_int(a->lose, 0),
-                         si_option_int(a->repeat, 0));
+        si_fabric_set_faults(h->fabric, si_option_int(a->lose, 0),
+                             si_option_int(a->repeat, 0));
         h->rest = si_rest_open((uint16_t)si_option_int(a->admin, 8600),
                                on_admin, h, e);
     }
