--- a/tagged/answers.c
+++ b/tagged/answers.c
@@ -12,10 +12,10 @@
 #include <zstd.h>
 
 /* Shorter answers are not compressed: they fit a few packets. */
-#define PACK_BYTES 2048
+#define COMPRESS_MIN_BYTES 2048
 /* Speed matters more than size: entries are alike, and even this level
  * compresses them to about a tenth. */
-#define PACK_LEVEL 1
+#define COMPRESS_LEVEL 1
 /* Lifetimes of a cached answer, which are included in its stated age: of the
  * whole replica, for peers without data, which request the changes since; of
  * changes, for peers that long-polled for them. */
@@ -24,7 +24,7 @@
 
 typedef struct {
     struct MHD_Response *response; /* NULL: empty */
-    answer_query_t question[TOPICS];
+    answer_query_t query[TOPICS];
     ms_t made_at;
 } cached_answer_t;
 
@@ -47,15 +47,15 @@
 /* Returns TEXT (freed) compressed, or NULL if it is too short or without
  * memory. */
 static void *
-pack(char *text, size_t *len)
+compress_text(char *text, size_t *len)
 {
     size_t n = strlen(text), room = ZSTD_compressBound(n);
-    void *out = n < PACK_BYTES ? NULL : malloc(room);
+    void *out = n < COMPRESS_MIN_BYTES ? NULL : malloc(room);
 
     if (out == NULL) {
         return NULL;
     }
-    *len = ZSTD_compress(out, room, text, n, PACK_LEVEL);
+    *len = ZSTD_compress(out, room, text, n, COMPRESS_LEVEL);
     if (ZSTD_isError(*len)) {
         free(out);
         return NULL;
@@ -68,7 +68,7 @@
 make_response(char *text, bool packed)
 {
     size_t len = strlen(text);
-    void *out = packed ? pack(text, &len) : NULL;
+    void *out = packed ? compress_text(text, &len) : NULL;
     struct MHD_Response *r = MHD_create_response_from_buffer(
         len, out != NULL ? out : text, MHD_RESPMEM_MUST_FREE);
 
@@ -85,31 +85,31 @@
 }
 
 bool
-answer_is_reusable(const answer_query_t *kept, ms_t age,
-                   const answer_query_t *asked)
+answer_is_reusable(const answer_query_t *cached, ms_t age,
+                   const answer_query_t *query)
 {
-    if (kept->packed != asked->packed ||
-        kept->differences != asked->differences ||
-        kept->whole != asked->whole) {
+    if (cached->packed != query->packed ||
+        cached->differences != query->differences ||
+        cached->whole != query->whole) {
         return false;
     }
-    return asked->whole
-               ? age <= WHOLE_LIFETIME_MS && kept->revision > asked->after
-               : age <= CHANGES_LIFETIME_MS && kept->after == asked->after &&
-                     kept->revision == asked->revision;
+    return query->whole
+               ? age <= WHOLE_LIFETIME_MS && cached->revision > query->after
+               : age <= CHANGES_LIFETIME_MS && cached->after == query->after &&
+                     cached->revision == query->revision;
 }
 
 /* Writes the requested part of each topic as text.  NULL without memory. */
 static char *
-write_topics(replica_t *const r[TOPICS], ms_t now, ms_t given_ms,
-             const answer_query_t asked[TOPICS])
+write_topics(replica_t *const r[TOPICS], ms_t now, ms_t lifetime_ms,
+             const answer_query_t query[TOPICS])
 {
     char *text[TOPICS], *out = NULL;
     bool all = true;
 
     for (int i = 0; i < TOPICS; i++) {
-        text[i] = replica_text(r[i], now, asked[i].after, given_ms,
-                               asked[i].differences);
+        text[i] = replica_text(r[i], now, query[i].after, lifetime_ms,
+                               query[i].differences);
         all = all && text[i] != NULL;
     }
     if (all) {
@@ -122,41 +122,41 @@
 }
 
 static bool
-is_reusable(const cached_answer_t *kept, ms_t now,
-            const answer_query_t asked[TOPICS])
+is_reusable(const cached_answer_t *cached, ms_t now,
+            const answer_query_t query[TOPICS])
 {
-    bool all = kept->response != NULL;
+    bool all = cached->response != NULL;
 
     for (int i = 0; i < TOPICS && all; i++) {
-        all = answer_is_reusable(&kept->question[i], now - kept->made_at,
-                                 &asked[i]);
+        all = answer_is_reusable(&cached->query[i], now - cached->made_at,
+                                 &query[i]);
     }
     return all;
 }
 
-/* Returns the response to ASKED, from the cache if possible; called with LOCK
+/* Returns the response to QUERY, from the cache if possible; called with LOCK
  * held. */
 static struct MHD_Response *
 cached_response(answers_t *a, replica_t *const r[TOPICS], ms_t now,
-                const answer_query_t asked[TOPICS])
+                const answer_query_t query[TOPICS])
 {
-    bool whole = asked[TOPIC_UPSTREAMS].whole && asked[TOPIC_OPERATOR].whole;
-    cached_answer_t *w = whole ? &a->whole : &a->changes;
+    bool whole = query[TOPIC_UPSTREAMS].whole && query[TOPIC_OPERATOR].whole;
+    cached_answer_t *entry = whole ? &a->whole : &a->changes;
     char *text;
 
-    if (is_reusable(w, now, asked)) {
-        return w->response;
+    if (is_reusable(entry, now, query)) {
+        return entry->response;
     }
-    if (w->response != NULL) {
-        MHD_destroy_response(w->response);
+    if (entry->response != NULL) {
+        MHD_destroy_response(entry->response);
     }
     text = write_topics(
-        r, now, whole ? WHOLE_LIFETIME_MS : CHANGES_LIFETIME_MS, asked);
-    *w = (cached_answer_t){
-        .response = text != NULL ? make_response(text, asked->packed) : NULL,
+        r, now, whole ? WHOLE_LIFETIME_MS : CHANGES_LIFETIME_MS, query);
+    *entry = (cached_answer_t){
+        .response = text != NULL ? make_response(text, query->packed) : NULL,
         .made_at = now};
-    memcpy(w->question, asked, sizeof(w->question));
-    return w->response;
+    memcpy(entry->query, query, sizeof(entry->query));
+    return entry->response;
 }
 
 static bool
@@ -171,21 +171,21 @@
 enum MHD_Result
 answers_reply(answers_t *a, replica_t *const r[TOPICS],
               struct MHD_Connection *c, const uint64_t after[TOPICS],
-              bool differences)
+              bool deltas)
 {
-    answer_query_t asked[TOPICS];
+    answer_query_t query[TOPICS];
     struct MHD_Response *response;
     enum MHD_Result rc = MHD_NO;
 
     for (int i = 0; i < TOPICS; i++) {
-        asked[i] = (answer_query_t){.packed = accepts_zstd(c),
-                                    .differences = differences,
+        query[i] = (answer_query_t){.packed = accepts_zstd(c),
+                                    .differences = deltas,
                                     .whole = replica_is_behind(r[i], after[i]),
                                     .after = after[i],
                                     .revision = replica_revision(r[i])};
     }
     pthread_mutex_lock(&a->lock);
-    response = cached_response(a, r, clock_now(), asked);
+    response = cached_response(a, r, clock_now(), query);
     if (response != NULL) {
         rc = MHD_queue_response(c, MHD_HTTP_OK, response);
     }
--- a/tagged/check.c
+++ b/tagged/check.c
@@ -45,17 +45,17 @@
 static void
 check_once(tagged_t *t, peer_client_t *c)
 {
-    bool known = tagged_has_replicas(t);
+    bool has_data = tagged_has_replicas(t);
     char text[ADDR_STRLEN];
     err_t e = {0};
     addr_t a;
     int rc;
 
-    if (pick_peer(t, !known, &a) == NULL) {
+    if (pick_peer(t, !has_data, &a) == NULL) {
         return;
     }
-    rc = updates_poll(t, c, &a, !known ? START_ANSWER_MS : 0, &e);
-    updates_record_answer(t, &a, classify_answer(rc, !known));
+    rc = updates_poll(t, c, &a, !has_data ? START_ANSWER_MS : 0, &e);
+    updates_record_answer(t, &a, classify_answer(rc, !has_data));
     if (rc > 0) {
         counter_add(&t->count.check_updates, 1);
         log_line(
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -117,15 +117,16 @@
 /* Polls the peer at A once.  A peer that does not answer, or whose answer
  * leaves the replica stale, counts as failed. */
 static ms_t
-follow_peer(follow_t *f, const addr_t *a, bool place)
+follow_peer(follow_t *f, const addr_t *a, bool needs_slot)
 {
     ms_t wait = watch_is_stale(&f->watch) ? 0 : PEER_WAIT_MS;
     char text[ADDR_STRLEN];
     err_t e = {0};
     addr_t redirect;
-    int rc = place ? updates_follow(f->t, &f->peer, a, wait, &redirect, &e)
-                   : updates_poll(f->t, &f->peer, a, wait, &e);
-    bool old = rc >= 0 && watch_is_stale(&f->watch);
+    int rc = needs_slot
+                 ? updates_follow(f->t, &f->peer, a, wait, &redirect, &e)
+                 : updates_poll(f->t, &f->peer, a, wait, &e);
+    bool stale = rc >= 0 && watch_is_stale(&f->watch);
 
     f->store_failed = false;
     set_follows_store(f, false);
@@ -136,8 +137,8 @@
         return watch_back_off(&f->watch);
     }
     updates_record_answer(f->t, a,
-                          rc < 0 || old ? SOURCE_FAILED : SOURCE_ANSWERED);
-    if (rc < 0 || old) {
+                          rc < 0 || stale ? SOURCE_FAILED : SOURCE_ANSWERED);
+    if (rc < 0 || stale) {
         log_line(LVL_WARN, "follow",
                  "Peer failed. peer=%s error=\"%s\" "
                  "age_ms=%lld",
@@ -154,7 +155,7 @@
  * store can't be reached from here.  Trying peers first takes seconds when
  * many are cut off. */
 static bool
-pick_peer(follow_t *f, addr_t *a, bool *place)
+pick_peer(follow_t *f, addr_t *a, bool *needs_slot)
 {
     const source_peer_t *p;
 
@@ -165,27 +166,27 @@
     p = sources_followed(&f->t->sources, clock_now());
     if (p != NULL) {
         *a = p->addr;
-        *place = sources_needs_place(&f->t->sources, clock_now());
+        *needs_slot = sources_needs_place(&f->t->sources, clock_now());
     }
     pthread_mutex_unlock(&f->t->follow_lock);
     return p != NULL;
 }
 
 static ms_t
-follow_once(follow_t *f, bool *leading)
+follow_once(follow_t *f, bool *from_store)
 {
     addr_t a = {0};
-    bool place = true;
-    bool peer = pick_peer(f, &a, &place);
+    bool needs_slot = true;
+    bool peer = pick_peer(f, &a, &needs_slot);
     char text[ADDR_STRLEN];
 
-    if (peer == *leading) {
-        *leading = !peer;
+    if (peer == *from_store) {
+        *from_store = !peer;
         log_line(LVL_INFO, "follow", "Source changed. source=%s age_ms=%lld",
                  peer ? addr_text(&a, text) : "store",
                  (long long)(clock_now() - tagged_current_at(f->t)));
     }
-    return peer ? follow_peer(f, &a, place) : follow_store(f);
+    return peer ? follow_peer(f, &a, needs_slot) : follow_store(f);
 }
 
 /* Applies the changed settings file.  Settings that a running process can't
@@ -226,11 +227,11 @@
 follow_run(duty_t *self, void *tagged)
 {
     follow_t f = {.t = tagged, .self = self};
-    bool leading = true;
+    bool from_store = true;
 
     watch_init(&f.watch, f.t, TOPIC_UPSTREAMS, (ms_t)f.t->settings.drain_ms);
     while (!duty_stopping(self)) {
-        ms_t pause = follow_once(&f, &leading);
+        ms_t pause = follow_once(&f, &from_store);
         if (__atomic_exchange_n(&f.t->reload, false, __ATOMIC_RELAXED)) {
             reload(&f);
         }
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -324,11 +324,11 @@
     bool evacuation_ending = flowset_evacuation_ending(p->flows);
     bool locked =
         evacuation_ending && pthread_mutex_trylock(&p->t->follow_lock) == 0;
-    uint64_t known = 0;
+    uint64_t synced_revision = 0;
     void *msg;
 
     if (locked) {
-        known = replica_revision(p->t->replica[TOPIC_UPSTREAMS]);
+        synced_revision = replica_revision(p->t->replica[TOPIC_UPSTREAMS]);
         pthread_mutex_unlock(&p->t->follow_lock);
     }
     while (duty_take(self, &msg, 1) == 1) {
@@ -336,7 +336,7 @@
         changes_free(msg);
     }
     if (evacuation_ending) {
-        flowset_upstreams_synced(p->flows, known);
+        flowset_upstreams_synced(p->flows, synced_revision);
     }
 }
 
@@ -398,7 +398,7 @@
 
 /* Updates the instances that may open flows at upstreams in warm-up. */
 static void
-update_warmers(packets_t *p)
+update_warm_up_instances(packets_t *p)
 {
     uint64_t self, warm_up_instance[WARM_UP_INSTANCES_MAX];
     uint32_t n;
@@ -419,7 +419,7 @@
     if (p->now < p->publish_at) {
         return;
     }
-    update_warmers(p);
+    update_warm_up_instances(p);
     pthread_mutex_lock(&p->t->stats_lock);
     p->t->stats = *flowset_stats(p->flows);
     pthread_mutex_unlock(&p->t->stats_lock);
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -320,11 +320,11 @@
         store_item_t *it = &out->item[i];
         const store_item_t *base =
             prev_values_find(&r->prev_values, it->key, after);
-        char *difference = base != NULL && it->value != NULL
-                               ? value_delta_make(base->value, it->value)
-                               : NULL;
-        if (difference != NULL) {
-            it->value = difference;
+        char *delta = base != NULL && it->value != NULL
+                          ? value_delta_make(base->value, it->value)
+                          : NULL;
+        if (delta != NULL) {
+            it->value = delta;
             it->base_revision = base->revision;
         }
     }
@@ -352,8 +352,8 @@
 }
 
 char *
-replica_text(replica_t *r, ms_t now, uint64_t after, ms_t given_ms,
-             bool differences)
+replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
+             bool deltas)
 {
     store_items_t out = {0};
     char *text = NULL;
@@ -361,11 +361,11 @@
     pthread_mutex_lock(&r->lock);
     out.is_snapshot = after < r->complete_after;
     out.revision = r->items.revision;
-    out.age = now + given_ms - r->current_at;
+    out.age = now + lifetime_ms - r->current_at;
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
-        if (differences && !out.is_snapshot) {
+        if (deltas && !out.is_snapshot) {
             select_deltas(r, after, &out);
         }
         text = store_items_serialise(&out);
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -10,7 +10,7 @@
 /* UDP and IPv4 headers. */
 #define NET_HEAD_BYTES 28
 /* Minimum interval between log lines about a full queue. */
-#define FULL_LINE_MS 1000
+#define FULL_LOG_MS 1000
 
 /* A packet queued for the link. */
 typedef struct {
@@ -24,7 +24,7 @@
 struct sender {
     tagged_t *t;
     pacer_t *pacer;
-    ms_t full_line_at;
+    ms_t full_logged_at;
     unsigned n_out;
     struct mmsghdr out[PACKET_BATCH];
     struct iovec iov[PACKET_BATCH][2];
@@ -49,7 +49,7 @@
         free(s);
         return NULL;
     }
-    s->full_line_at = -FULL_LINE_MS;
+    s->full_logged_at = -FULL_LOG_MS;
     list_init(&s->free_list);
     for (int i = 0; i < PACER_MAX; i++) {
         list_append(&s->free_list, &s->queue[i].paced.link);
@@ -157,8 +157,8 @@
         return w;
     }
     counter_add(&s->t->count.evicted, 1);
-    if (now - s->full_line_at >= FULL_LINE_MS) {
-        s->full_line_at = now;
+    if (now - s->full_logged_at >= FULL_LOG_MS) {
+        s->full_logged_at = now;
         log_line(LVL_WARN, "packets",
                  "Link full, packets dropped. waiting=%u dropped=%llu",
                  pacer_queued(s->pacer),
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -126,15 +126,16 @@
 static bool
 admit_follower(tagged_t *t, const addr_t *from, addr_t *redirect)
 {
-    bool taken;
+    bool admitted;
 
     pthread_mutex_lock(&waiting.lock);
-    taken = followers_admit(&waiting.followers, clock_now(), from, redirect);
+    admitted =
+        followers_admit(&waiting.followers, clock_now(), from, redirect);
     pthread_mutex_unlock(&waiting.lock);
-    if (!taken) {
+    if (!admitted) {
         counter_add(&t->count.followers_redirected, 1);
     }
-    return taken;
+    return admitted;
 }
 
 static uint32_t
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -51,9 +51,9 @@
 /* Returns the delta from FROM to TO as text on the heap; NULL without memory.
  */
 char *value_delta_make(const char *from, const char *to);
-/* Applies DIFFERENCE to FROM; *TO receives the text on the heap.  -EBADMSG:
+/* Applies TEXT to FROM; *TO receives the text on the heap.  -EBADMSG:
  * the delta has another base text. */
-int value_delta_apply(const char *from, const char *difference, char **to);
+int value_delta_apply(const char *from, const char *text, char **to);
 
 /* ---- The replica: the items of a topic as last read from the store ---- */
 
@@ -80,11 +80,11 @@
  * AFTER needs the whole replica. */
 bool replica_is_behind(replica_t *r, uint64_t after);
 /* Returns the items newer than revision AFTER as text for a peer.  The text
- * may be sent up to GIVEN_MS later, and its age allows for that.  With
- * DIFFERENCES, long values are sent as deltas where the previous value is
+ * may be sent up to LIFETIME_MS later, and its age allows for that.  With
+ * DELTAS, long values are sent as deltas where the previous value is
  * stored.  NULL without memory. */
-char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t given_ms,
-                   bool differences);
+char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
+                   bool deltas);
 
 /* ---- Answers to peers, compressed and cached for equal requests ---- */
 
@@ -99,10 +99,10 @@
     uint64_t revision; /* of the replica at the time of the request */
 } answer_query_t;
 
-/* True if the cached answer to KEPT, which is AGE old, also answers ASKED.
+/* True if the cached answer to CACHED, which is AGE old, also answers QUERY.
  * Pure. */
-bool answer_is_reusable(const answer_query_t *kept, ms_t age,
-                        const answer_query_t *asked);
+bool answer_is_reusable(const answer_query_t *cached, ms_t age,
+                        const answer_query_t *query);
 
 /* NULL without memory. */
 answers_t *answers_new(void);
@@ -110,7 +110,7 @@
  * which closes the connection, without memory. */
 enum MHD_Result answers_reply(answers_t *a, replica_t *const r[TOPICS],
                               struct MHD_Connection *c,
-                              const uint64_t after[TOPICS], bool differences);
+                              const uint64_t after[TOPICS], bool deltas);
 
 /* ---- Messages to packets ---- */
 
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -204,12 +204,12 @@
                 const char *from, ms_t wait_ms, http_reply_t *r, err_t *e)
 {
     char path[160 + ADDR_STRLEN];
-    bool known = tagged_has_replicas(t);
-    ms_t slack = known ? PEER_SLACK_MS : PEER_SLACK_MS << c->late_answers;
+    bool has_data = tagged_has_replicas(t);
+    ms_t slack = has_data ? PEER_SLACK_MS : PEER_SLACK_MS << c->late_answers;
     http_call_t call = {.path = path,
                         .timeout_ms = wait_ms + slack,
                         .connect_timeout_ms =
-                            known ? PEER_SLACK_MS : START_CONNECT_MS,
+                            has_data ? PEER_SLACK_MS : START_CONNECT_MS,
                         .stall_timeout_ms = PEER_STALL_MS,
                         .step = "peer",
                         .accept_zstd = true};
@@ -244,13 +244,13 @@
     int n = 0, rc = 0;
 
     for (int i = 0; i < TOPICS; i++) {
-        int taken = 0;
+        int changed = 0;
         items[i].age += transfer_ms; /* the age is as of the first byte */
         if (items[i].revision > 0) {
-            taken = updates_apply(t, &items[i]);
+            changed = updates_apply(t, &items[i]);
         }
-        n += taken > 0 ? taken : 0;
-        rc = rc < 0 ? rc : taken;
+        n += changed > 0 ? changed : 0;
+        rc = rc < 0 ? rc : changed;
     }
     return rc < 0 ? rc : n;
 }
--- a/tagged/value_delta.c
+++ b/tagged/value_delta.c
@@ -110,17 +110,17 @@
 }
 
 int
-value_delta_apply(const char *from, const char *difference, char **to)
+value_delta_apply(const char *from, const char *text, char **to)
 {
-    size_t len = strlen(difference);
+    size_t len = strlen(text);
     blob_t old = blob_of(from), delta = {.data = malloc(len + 1)}, new_;
     int rc = -EBADMSG;
 
     if (delta.data == NULL) {
         return -ENOMEM;
     }
-    if (sodium_base642bin(delta.data, len, difference, len, NULL, &delta.len,
-                          NULL, sodium_base64_VARIANT_ORIGINAL) == 0) {
+    if (sodium_base642bin(delta.data, len, text, len, NULL, &delta.len, NULL,
+                          sodium_base64_VARIANT_ORIGINAL) == 0) {
         rc = delta_apply(&old, &delta, VALUE_MAX, &new_);
     }
     blob_free(&delta);
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -298,21 +298,21 @@
 operator_run(duty_t *self, void *tagged)
 {
     tagged_t *t = tagged;
-    bool read = false;
+    bool used_store = false;
     watch_t w;
 
     watch_init(&w, t, TOPIC_OPERATOR, (ms_t)t->settings.apply_ms);
     while (!duty_stopping(self)) {
         ms_t pause = watch_fresh_ms(&w);
-        bool reads = ATOMIC_GET(t, follows_store) ||
-                     !ATOMIC_GET(t, store_up) || pause == 0;
-        if (reads) {
+        bool uses_store = ATOMIC_GET(t, follows_store) ||
+                          !ATOMIC_GET(t, store_up) || pause == 0;
+        if (uses_store) {
             /* Peers delivered the topic so far: a watch from their revision
              * may transfer several versions. */
-            w.needs_resync = w.needs_resync || !read;
+            w.needs_resync = w.needs_resync || !used_store;
             pause = watch_once(&w);
         }
-        read = reads;
+        used_store = uses_store;
         if (pause > 0) {
             duty_wait(self, NULL, 0, pause);
         }
