--- a/siskind/admin.c
+++ b/siskind/admin.c
@@ -26,24 +26,24 @@
 static query_t *
 query_decide(const daemon_t *d, query_kind_t kind)
 {
-    query_t *a = query_new(kind);
-    control_t *n = control_new(MSG_QUERY);
+    query_t *q = query_new(kind);
+    control_t *ctl = control_new(MSG_QUERY);
 
-    if (a == NULL || n == NULL) {
-        free(n);
-        if (a != NULL) {
-            query_release(a);
-            query_release(a);
+    if (q == NULL || ctl == NULL) {
+        free(ctl);
+        if (q != NULL) {
+            query_release(q);
+            query_release(q);
         }
         return NULL;
     }
-    n->query = a;
-    if (control_post(kern_find(d->kern, "decide"), n) < 0 ||
-        query_wait(a, QUERY_TIMEOUT_MS) < 0) {
-        query_release(a);
+    ctl->query = q;
+    if (control_post(kern_find(d->kern, "decide"), ctl) < 0 ||
+        query_wait(q, QUERY_TIMEOUT_MS) < 0) {
+        query_release(q);
         return NULL;
     }
-    return a;
+    return q;
 }
 
 typedef enum { PAGE_METRICS, PAGE_STATUS, PAGE_FLOWS, PAGE_CHANGE } page_t;
@@ -65,30 +65,30 @@
 static enum MHD_Result
 answer(struct MHD_Connection *c, const daemon_t *d, const route_t *route)
 {
-    query_t *a = query_decide(d, route->query);
+    query_t *q = query_decide(d, route->query);
     enum MHD_Result rc = MHD_NO;
 
-    if (a == NULL) {
+    if (q == NULL) {
         return fail(c, MHD_HTTP_SERVICE_UNAVAILABLE,
                     "{\"error\":\"decide is busy: ask again\"}\n");
     }
     switch (route->page) {
     case PAGE_METRICS:
         rc = http_reply(c, MHD_HTTP_OK, PROMETHEUS,
-                        report_metrics(d, &a->view));
+                        report_metrics(d, &q->view));
         break;
     case PAGE_FLOWS:
-        rc = http_reply(c, MHD_HTTP_OK, JSON, report_flows(&a->view));
+        rc = http_reply(c, MHD_HTTP_OK, JSON, report_flows(&q->view));
         break;
     case PAGE_STATUS:
-        rc = http_reply(c, MHD_HTTP_OK, JSON, report_status(d, &a->view));
+        rc = http_reply(c, MHD_HTTP_OK, JSON, report_status(d, &q->view));
         break;
     case PAGE_CHANGE:
-        rc = http_reply(c, a->rc < 0 ? MHD_HTTP_CONFLICT : MHD_HTTP_OK, JSON,
-                        report_status(d, &a->view));
+        rc = http_reply(c, q->rc < 0 ? MHD_HTTP_CONFLICT : MHD_HTTP_OK, JSON,
+                        report_status(d, &q->view));
         break;
     }
-    query_release(a);
+    query_release(q);
     return rc;
 }
 
--- a/siskind/bulk.c
+++ b/siskind/bulk.c
@@ -69,7 +69,7 @@
     int linger = 0;
     int wait = 0;
     int handshake = FETCH_TIMEOUT_MS;
-    int64_t most = MESSAGE_MAX;
+    int64_t max_bytes = MESSAGE_MAX;
 
     zmq_setsockopt(s, ZMQ_RCVHWM, &queue, sizeof(queue));
     zmq_setsockopt(s, ZMQ_SNDHWM, &queue, sizeof(queue));
@@ -77,7 +77,7 @@
     zmq_setsockopt(s, ZMQ_RCVTIMEO, &wait, sizeof(wait));
     zmq_setsockopt(s, ZMQ_SNDTIMEO, &wait, sizeof(wait));
     zmq_setsockopt(s, ZMQ_HANDSHAKE_IVL, &handshake, sizeof(handshake));
-    zmq_setsockopt(s, ZMQ_MAXMSGSIZE, &most, sizeof(most));
+    zmq_setsockopt(s, ZMQ_MAXMSGSIZE, &max_bytes, sizeof(max_bytes));
 }
 
 static void
@@ -91,7 +91,7 @@
 static int
 open_server(bulk_t *b)
 {
-    char where[ADDR_STRLEN + 8];
+    char url[ADDR_STRLEN + 8];
     int on = 1;
 
     b->server = zmq_socket(b->ctx, ZMQ_ROUTER);
@@ -101,8 +101,8 @@
     set_limits(b->server);
     zmq_setsockopt(b->server, ZMQ_CURVE_SERVER, &on, sizeof(on));
     zmq_setsockopt(b->server, ZMQ_CURVE_SECRETKEY, b->secret_key, Z85_LEN - 1);
-    endpoint(where, sizeof(where), &b->d->settings.bulk_addr);
-    return zmq_bind(b->server, where) < 0 ? -errno : 0;
+    endpoint(url, sizeof(url), &b->d->settings.bulk_addr);
+    return zmq_bind(b->server, url) < 0 ? -errno : 0;
 }
 
 /* ---- Serving ---- */
@@ -166,7 +166,7 @@
 static int
 fetch_connect(bulk_t *b)
 {
-    char where[ADDR_STRLEN + 8];
+    char url[ADDR_STRLEN + 8];
     char request[REQUEST_MAX];
     int n;
 
@@ -178,10 +178,10 @@
     zmq_setsockopt(b->client, ZMQ_CURVE_SERVERKEY, b->public_key, Z85_LEN - 1);
     zmq_setsockopt(b->client, ZMQ_CURVE_PUBLICKEY, b->public_key, Z85_LEN - 1);
     zmq_setsockopt(b->client, ZMQ_CURVE_SECRETKEY, b->secret_key, Z85_LEN - 1);
-    endpoint(where, sizeof(where), &b->from.addr);
+    endpoint(url, sizeof(url), &b->from.addr);
     n = snprintf(request, sizeof(request), "GET %llu",
                  (unsigned long long)(b->want_full ? 0 : b->versions.version));
-    if (zmq_connect(b->client, where) < 0 ||
+    if (zmq_connect(b->client, url) < 0 ||
         zmq_send(b->client, request, (size_t)n, ZMQ_DONTWAIT) < 0) {
         fetch_end(b);
         return -errno;
@@ -195,7 +195,7 @@
  * so that the version is fetched again from the peers that gossip names if
  * decide refused it. */
 static bool
-is_newer(const bulk_t *b, uint64_t version)
+should_fetch(const bulk_t *b, uint64_t version)
 {
     if (version <= SHARED_GET(b->d, version)) {
         return false;
@@ -210,7 +210,7 @@
 {
     while (b->client == NULL && b->n_candidates > 0) {
         b->from = b->candidate[--b->n_candidates];
-        if (!is_newer(b, b->from.version)) {
+        if (!should_fetch(b, b->from.version)) {
             continue;
         }
         b->deadline = clock_now() + FETCH_TIMEOUT_MS;
@@ -221,12 +221,13 @@
 }
 
 static void
-add_candidate(bulk_t *b, const control_t *n)
+add_candidate(bulk_t *b, const control_t *ctl)
 {
-    candidate_t c = {.addr = n->fetch.bulk_addr, .version = n->fetch.version};
+    candidate_t c = {.addr = ctl->fetch.bulk_addr,
+                     .version = ctl->fetch.version};
     size_t i = 0;
 
-    memcpy(c.name, n->fetch.name, sizeof(c.name));
+    memcpy(c.name, ctl->fetch.name, sizeof(c.name));
     while (i < b->n_candidates && !addr_eq(&b->candidate[i].addr, &c.addr)) {
         i++;
     }
@@ -243,13 +244,13 @@
 offer_version(void *arg, const blob_t *text, ms_t age, bool complete)
 {
     bulk_t *b = arg;
-    bundle_source_t o = {.part = "bulk",
-                         .from = b->from.name,
-                         .age = age,
-                         .complete = complete};
+    bundle_source_t src = {.part = "bulk",
+                           .from = b->from.name,
+                           .age = age,
+                           .complete = complete};
     char *json = strndup((const char *)text->data, text->len);
 
-    if (json != NULL && offer_bundle(b->d, json, &o) >= 0) {
+    if (json != NULL && offer_bundle(b->d, json, &src) >= 0) {
         b->accepted++;
     }
 }
@@ -298,16 +299,16 @@
     void *msg;
 
     while (duty_take(self, &msg, 1) == 1) {
-        control_t *n = msg;
-        if (n->kind == MSG_BUNDLE) {
-            versions_add(&b->versions, n->conf.version,
-                         clock_now() - n->conf.age, n->conf.json);
-            n->conf.json = NULL;
+        control_t *ctl = msg;
+        if (ctl->kind == MSG_BUNDLE) {
+            versions_add(&b->versions, ctl->conf.version,
+                         clock_now() - ctl->conf.age, ctl->conf.json);
+            ctl->conf.json = NULL;
         }
-        if (n->kind == MSG_FETCH) {
-            add_candidate(b, n);
+        if (ctl->kind == MSG_FETCH) {
+            add_candidate(b, ctl);
         }
-        msg_drop(n);
+        msg_drop(ctl);
     }
 }
 
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -86,13 +86,13 @@
 static void
 post_ports(decide_t *c, duty_t *to)
 {
-    control_t *n = control_new(MSG_PORTS);
+    control_t *ctl = control_new(MSG_PORTS);
 
-    if (n == NULL) {
+    if (ctl == NULL) {
         return;
     }
-    n->ports = ports_retain(c->ports);
-    if (control_post(to, n) < 0) {
+    ctl->ports = ports_retain(c->ports);
+    if (control_post(to, ctl) < 0) {
         c->ports->missing = true; /* retry */
     }
 }
@@ -117,34 +117,34 @@
 static void
 publish(decide_t *c, char *json, ms_t age)
 {
-    control_t *n = control_new(MSG_BUNDLE);
+    control_t *ctl = control_new(MSG_BUNDLE);
 
-    if (n == NULL) {
+    if (ctl == NULL) {
         free(json);
         return;
     }
-    n->conf.json = json;
-    n->conf.version = c->conf->version;
-    n->conf.age = age;
-    control_post(c->bulk, n);
+    ctl->conf.json = json;
+    ctl->conf.version = c->conf->version;
+    ctl->conf.age = age;
+    control_post(c->bulk, ctl);
 }
 
 /* Versions only increase: a late answer from the platform, or one from a peer
  * that is behind, is rejected here. */
 static void
-on_conf(decide_t *c, control_t *n)
+on_conf(decide_t *c, control_t *ctl)
 {
-    conf_t *conf = n->conf.conf;
+    conf_t *conf = ctl->conf.conf;
     conf_t *old = c->conf;
     int rc;
 
-    bool complete =
-        n->conf.complete || (n->conf.first && !core_saw_older_member(c->core));
+    bool complete = ctl->conf.complete ||
+                    (ctl->conf.first && !core_saw_older_member(c->core));
 
     if (complete && old == NULL) {
         core_set_history_complete(c->core);
     }
-    rc = core_set_conf(c->core, c->now - n->conf.age, conf);
+    rc = core_set_conf(c->core, c->now - ctl->conf.age, conf);
     if (rc == -ENOMEM) {
         log_line(LVL_ERROR, "decide",
                  "Out of memory: a version is not applied. version=%llu",
@@ -154,14 +154,14 @@
         return;
     }
     SHARED_SET(c->d, history_complete, core_history_is_complete(c->core));
-    n->conf.conf = NULL;
+    ctl->conf.conf = NULL;
     c->conf = conf;
-    c->conf_at = c->now - n->conf.age;
+    c->conf_at = c->now - ctl->conf.age;
     members_set_version(c->members, c->now, conf->version, conf->hash);
     SHARED_SET(c->d, version, conf->version);
     open_ports(c);
-    publish(c, n->conf.json, n->conf.age);
-    n->conf.json = NULL;
+    publish(c, ctl->conf.json, ctl->conf.age);
+    ctl->conf.json = NULL;
     conf_free(old);
     log_line(LVL_INFO, "decide",
              "A version is in force. version=%llu "
@@ -171,17 +171,17 @@
 }
 
 static void
-on_list(decide_t *c, const control_t *n)
+on_list(decide_t *c, const control_t *ctl)
 {
-    uint64_t *ids = calloc(n->list.n + 1, sizeof(*ids));
+    uint64_t *ids = calloc(ctl->list.n + 1, sizeof(*ids));
     size_t others = 0;
     bool listed = false;
 
     if (ids == NULL) {
         return;
     }
-    for (size_t i = 0; i < n->list.n; i++) {
-        const plat_instance_t *in = &n->list.instance[i];
+    for (size_t i = 0; i < ctl->list.n; i++) {
+        const plat_instance_t *in = &ctl->list.instance[i];
         member_t m = {.id = instance_id(in->name),
                       .peer_addr = in->peer_addr,
                       .bulk_addr = in->bulk_addr,
@@ -196,23 +196,23 @@
         memcpy(m.data_centre, in->data_centre, sizeof(m.data_centre));
         members_add_peer(c->members, c->now, &m);
     }
-    members_apply_list(c->members, c->now, ids, n->list.n);
+    members_apply_list(c->members, c->now, ids, ctl->list.n);
     c->listed_alone = listed && others == 0;
     free(ids);
 }
 
 static void
-on_control(decide_t *c, control_t *n)
+on_control(decide_t *c, control_t *ctl)
 {
-    switch (n->kind) {
+    switch (ctl->kind) {
     case MSG_CONF:
-        on_conf(c, n);
+        on_conf(c, ctl);
         break;
     case MSG_LIST:
-        on_list(c, n);
+        on_list(c, ctl);
         break;
     case MSG_QUERY:
-        answer_query(c, n->query);
+        answer_query(c, ctl->query);
         break;
     case MSG_LEAVE:
         c->stopping = true;
--- a/siskind/decide.h
+++ b/siskind/decide.h
@@ -48,6 +48,6 @@
 void output_member(void *decide, const member_out_t *out);
 
 /* view.c: handles an operator's query. */
-void answer_query(decide_t *c, query_t *a);
+void answer_query(decide_t *c, query_t *q);
 
 #endif
--- a/siskind/message.c
+++ b/siskind/message.c
@@ -7,56 +7,56 @@
 control_t *
 control_new(msg_kind_t kind)
 {
-    control_t *n = calloc(1, sizeof(*n));
+    control_t *ctl = calloc(1, sizeof(*ctl));
 
-    if (n != NULL) {
-        n->kind = kind;
+    if (ctl != NULL) {
+        ctl->kind = kind;
     }
-    return n;
+    return ctl;
 }
 
 void
 msg_drop(void *msg)
 {
-    control_t *n = msg;
+    control_t *ctl = msg;
 
-    switch (n->kind) {
+    switch (ctl->kind) {
     case MSG_PACKET:
         pool_put(((packet_t *)msg)->pool, msg);
         return;
     case MSG_PORTS:
-        ports_release(n->ports);
+        ports_release(ctl->ports);
         break;
     case MSG_CONF:
     case MSG_BUNDLE:
-        conf_free(n->conf.conf);
-        free(n->conf.json);
+        conf_free(ctl->conf.conf);
+        free(ctl->conf.json);
         break;
     case MSG_LIST:
-        free(n->list.instance);
+        free(ctl->list.instance);
         break;
     case MSG_QUERY:
-        query_release(n->query);
+        query_release(ctl->query);
         break;
     case MSG_FETCH:
     case MSG_LEAVE:
     case MSG_LEAVE_DONE:
         break;
     }
-    free(n);
+    free(ctl);
 }
 
 int
-control_post(duty_t *to, control_t *n)
+control_post(duty_t *to, control_t *ctl)
 {
     int rc;
 
-    if (n == NULL) {
+    if (ctl == NULL) {
         return -ENOMEM;
     }
-    rc = duty_post(to, n);
+    rc = duty_post(to, ctl);
     if (rc < 0) {
-        msg_drop(n);
+        msg_drop(ctl);
     }
     return rc;
 }
--- a/siskind/output.c
+++ b/siskind/output.c
@@ -168,19 +168,19 @@
 fetch(decide_t *c, const member_out_t *out)
 {
     const member_t *from = &out->fetch.from;
-    control_t *n;
+    control_t *ctl;
 
     if (out->fetch.version <= SHARED_GET(c->d, version)) {
         return;
     }
-    n = control_new(MSG_FETCH);
-    if (n == NULL) {
+    ctl = control_new(MSG_FETCH);
+    if (ctl == NULL) {
         return;
     }
-    memcpy(n->fetch.name, from->name, sizeof(n->fetch.name));
-    n->fetch.bulk_addr = from->bulk_addr;
-    n->fetch.version = out->fetch.version;
-    control_post(c->bulk, n);
+    memcpy(ctl->fetch.name, from->name, sizeof(ctl->fetch.name));
+    ctl->fetch.bulk_addr = from->bulk_addr;
+    ctl->fetch.version = out->fetch.version;
+    control_post(c->bulk, ctl);
 }
 
 void
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -61,18 +61,18 @@
 }
 
 int
-offer_bundle(daemon_t *d, char *json, const bundle_source_t *o)
+offer_bundle(daemon_t *d, char *json, const bundle_source_t *src)
 {
     conf_bundle_t b = {0};
     err_t e = {0};
-    control_t *n;
+    control_t *ctl;
     int rc = bundle_read(&b, json, &e);
 
     if (rc < 0) {
-        log_line(LVL_WARN, o->part,
+        log_line(LVL_WARN, src->part,
                  "A configuration is refused. from=%s "
                  "step=\"%s\" error=\"%s\"",
-                 o->from, e.step, e.text);
+                 src->from, e.step, e.text);
         free(json);
         return rc;
     }
@@ -81,29 +81,29 @@
         free(json);
         return -ESTALE;
     }
-    n = control_new(MSG_CONF);
-    if (n != NULL) {
-        n->conf.json = json;
-        n->conf.age = o->age;
-        n->conf.complete = o->complete;
-        n->conf.first = o->first;
-        n->conf.conf = bundle_conf(&b, &e);
+    ctl = control_new(MSG_CONF);
+    if (ctl != NULL) {
+        ctl->conf.json = json;
+        ctl->conf.age = src->age;
+        ctl->conf.complete = src->complete;
+        ctl->conf.first = src->first;
+        ctl->conf.conf = bundle_conf(&b, &e);
     }
     bundle_free(&b);
-    if (n == NULL || n->conf.conf == NULL) {
-        log_line(LVL_WARN, o->part,
+    if (ctl == NULL || ctl->conf.conf == NULL) {
+        log_line(LVL_WARN, src->part,
                  "A configuration is refused. from=%s "
                  "peer=%s error=\"%s\"",
-                 o->from, e.peer, e.text);
-        if (n != NULL) {
-            msg_drop(n);
+                 src->from, e.peer, e.text);
+        if (ctl != NULL) {
+            msg_drop(ctl);
         }
         else {
             free(json);
         }
         return -EINVAL;
     }
-    return control_post(kern_find(d->kern, "decide"), n);
+    return control_post(kern_find(d->kern, "decide"), ctl);
 }
 
 /* Few instances watch; one without a version or without peers always does.  At
@@ -124,7 +124,7 @@
 static int
 offer_read(daemon_t *d, const conf_bundle_t *b, bool first, err_t *e)
 {
-    bundle_source_t o = {
+    bundle_source_t src = {
         .part = "watch", .from = d->settings.platform_url, .first = first};
     char *json = bundle_write(b);
 
@@ -132,7 +132,7 @@
         return err_set(e, -ENOMEM, "bundle write", "platform",
                        "Out of memory.");
     }
-    offer_bundle(d, json, &o);
+    offer_bundle(d, json, &src);
     return 0;
 }
 
@@ -246,24 +246,24 @@
 static int
 read_list(const daemon_t *d, plat_t *p, err_t *e)
 {
-    control_t *n = control_new(MSG_LIST);
+    control_t *ctl = control_new(MSG_LIST);
     int rc;
 
-    if (n == NULL) {
+    if (ctl == NULL) {
         return -ENOMEM;
     }
-    n->list.instance = calloc(PLAT_INSTANCES_MAX, sizeof(plat_instance_t));
-    if (n->list.instance == NULL) {
-        msg_drop(n);
+    ctl->list.instance = calloc(PLAT_INSTANCES_MAX, sizeof(plat_instance_t));
+    if (ctl->list.instance == NULL) {
+        msg_drop(ctl);
         return -ENOMEM;
     }
-    rc =
-        plat_instances(p, n->list.instance, PLAT_INSTANCES_MAX, &n->list.n, e);
+    rc = plat_instances(p, ctl->list.instance, PLAT_INSTANCES_MAX,
+                        &ctl->list.n, e);
     if (rc < 0) {
-        msg_drop(n);
+        msg_drop(ctl);
         return rc;
     }
-    control_post(kern_find(d->kern, "decide"), n);
+    control_post(kern_find(d->kern, "decide"), ctl);
     return 0;
 }
 
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -43,12 +43,12 @@
 static bool
 has_room(const receive_t *r, sock_t sock)
 {
-    unsigned room = duty_capacity(r->decide);
+    unsigned limit = duty_capacity(r->decide);
 
     if (sock == SOCK_SERVICE) {
-        room -= room / 4;
+        limit -= limit / 4;
     }
-    return duty_depth(r->decide) < room;
+    return duty_depth(r->decide) < limit;
 }
 
 static void
--- a/siskind/siskind.h
+++ b/siskind/siskind.h
@@ -122,8 +122,8 @@
 control_t *control_new(msg_kind_t kind);
 /* Frees a packet or a control message with its contents. */
 void msg_drop(void *msg);
-/* Posts N, or frees it when the inbox is full. */
-int control_post(duty_t *to, control_t *n);
+/* Posts CTL, or frees it when the inbox is full. */
+int control_post(duty_t *to, control_t *ctl);
 
 /* ---- State that every duty may read ---- */
 
@@ -192,7 +192,7 @@
 
 /* Parses and checks a bundle's text, and posts it to decide if it is newer
  * than the version in force.  Takes ownership of JSON. */
-int offer_bundle(daemon_t *d, char *json, const bundle_source_t *o);
+int offer_bundle(daemon_t *d, char *json, const bundle_source_t *src);
 
 /* ---- Snapshots for operators ---- */
 
@@ -227,11 +227,11 @@
 };
 
 query_t *query_new(query_kind_t kind);
-void query_release(query_t *a);
+void query_release(query_t *q);
 /* Called by decide when the view is complete. */
-void query_done(query_t *a);
+void query_done(query_t *q);
 /* Called by admin.  Returns 0 or -ETIMEDOUT. */
-int query_wait(query_t *a, ms_t ms);
+int query_wait(query_t *q, ms_t ms);
 
 const char *class_name(class_t c);
 const char *refuse_name(refuse_t r);
--- a/siskind/view.c
+++ b/siskind/view.c
@@ -53,60 +53,60 @@
 query_new(query_kind_t kind)
 {
     pthread_condattr_t attr;
-    query_t *a = calloc(1, sizeof(*a));
+    query_t *q = calloc(1, sizeof(*q));
 
-    if (a == NULL) {
+    if (q == NULL) {
         return NULL;
     }
-    a->kind = kind;
-    a->refs = 2;
-    pthread_mutex_init(&a->lock, NULL);
+    q->kind = kind;
+    q->refs = 2;
+    pthread_mutex_init(&q->lock, NULL);
     pthread_condattr_init(&attr);
     pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-    pthread_cond_init(&a->done_cond, &attr);
+    pthread_cond_init(&q->done_cond, &attr);
     pthread_condattr_destroy(&attr);
-    return a;
+    return q;
 }
 
 void
-query_release(query_t *a)
+query_release(query_t *q)
 {
-    if (__atomic_sub_fetch(&a->refs, 1, __ATOMIC_ACQ_REL) > 0) {
+    if (__atomic_sub_fetch(&q->refs, 1, __ATOMIC_ACQ_REL) > 0) {
         return;
     }
-    pthread_cond_destroy(&a->done_cond);
-    pthread_mutex_destroy(&a->lock);
-    free(a->view.peers);
-    free(a->view.upstreams);
-    free(a->view.services);
-    free(a);
+    pthread_cond_destroy(&q->done_cond);
+    pthread_mutex_destroy(&q->lock);
+    free(q->view.peers);
+    free(q->view.upstreams);
+    free(q->view.services);
+    free(q);
 }
 
 void
-query_done(query_t *a)
+query_done(query_t *q)
 {
-    pthread_mutex_lock(&a->lock);
-    a->done = true;
-    pthread_cond_signal(&a->done_cond);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_lock(&q->lock);
+    q->done = true;
+    pthread_cond_signal(&q->done_cond);
+    pthread_mutex_unlock(&q->lock);
 }
 
 int
-query_wait(query_t *a, ms_t ms)
+query_wait(query_t *q, ms_t ms)
 {
     struct timespec until;
     bool done;
 
     clock_gettime(CLOCK_MONOTONIC, &until);
     until.tv_sec += ms / 1000;
-    pthread_mutex_lock(&a->lock);
-    while (!a->done) {
-        if (pthread_cond_timedwait(&a->done_cond, &a->lock, &until) != 0) {
+    pthread_mutex_lock(&q->lock);
+    while (!q->done) {
+        if (pthread_cond_timedwait(&q->done_cond, &q->lock, &until) != 0) {
             break;
         }
     }
-    done = a->done;
-    pthread_mutex_unlock(&a->lock);
+    done = q->done;
+    pthread_mutex_unlock(&q->lock);
     return done ? 0 : -ETIMEDOUT;
 }
 
@@ -157,18 +157,18 @@
 }
 
 void
-answer_query(decide_t *c, query_t *a)
+answer_query(decide_t *c, query_t *q)
 {
-    switch (a->kind) {
+    switch (q->kind) {
     case QUERY_STATUS:
         break;
     case QUERY_DRAIN:
         life_leave(c);
         break;
     case QUERY_UNDRAIN:
-        a->rc = life_rejoin(c);
+        q->rc = life_rejoin(c);
         break;
     }
-    view_fill(c, &a->view);
-    query_done(a);
+    view_fill(c, &q->view);
+    query_done(q);
 }
