--- a/siskinctl/files.c
+++ b/siskinctl/files.c
@@ -10,10 +10,10 @@
 typedef struct {
     size_t n;
     conf_source_t src[CTL_FILES_MAX];
-} sources_t;
+} input_files_t;
 
 static void
-sources_free(sources_t *t)
+input_files_free(input_files_t *t)
 {
     for (size_t i = 0; i < t->n; i++) {
         free((char *)t->src[i].text);
@@ -22,7 +22,7 @@
 
 /* Moves the base file to the front; it may be named in any position. */
 static int
-move_base_first(sources_t *t, err_t *e)
+move_base_first(input_files_t *t, err_t *e)
 {
     char name[NAME_LEN];
     conf_source_t base;
@@ -41,7 +41,7 @@
 }
 
 static int
-sources_read(sources_t *t, const options_t *o, err_t *e)
+input_files_read(input_files_t *t, const options_t *o, err_t *e)
 {
     char *text;
 
@@ -58,16 +58,16 @@
 ctl_exit_t
 ctl_read_files(const options_t *o, conf_bundle_t *b)
 {
-    sources_t t = {.n = 0};
+    input_files_t t = {.n = 0};
     err_t e = {0};
     int rc;
 
     *b = (conf_bundle_t){0};
-    rc = sources_read(&t, o, &e);
+    rc = input_files_read(&t, o, &e);
     if (rc == 0) {
         rc = bundle_make(b, t.src, t.n, &e);
     }
-    sources_free(&t);
+    input_files_free(&t);
     return rc < 0 ? ctl_fail(o, CTL_USAGE, &e) : CTL_OK;
 }
 
