--- a/tagged/announce.c
+++ b/tagged/announce.c
@@ -32,7 +32,7 @@
 }
 
 static bool
-should_register(announce_t *a)
+should_announce(announce_t *a)
 {
     bool yes;
 
@@ -47,14 +47,14 @@
 {
     int rc = store_renew(a->t->writer, a->lease, e);
 
-    if (rc == -ENOENT) { /* the lease expired: register again */
+    if (rc == -ENOENT) { /* the lease expired: announce again */
         a->lease = 0;
     }
     return rc;
 }
 
 static int
-register_instance(announce_t *a, err_t *e)
+announce_instance(announce_t *a, err_t *e)
 {
     char key[128];
 
@@ -63,7 +63,7 @@
                           LEASE_MS, &a->lease, e);
 }
 
-/* Renews or registers as due; returns the time until the next check. */
+/* Renews or announces as due; returns the time until the next check. */
 static ms_t
 announce_once(announce_t *a)
 {
@@ -73,8 +73,8 @@
     if (a->lease != 0) {
         rc = renew(a, &e);
     }
-    else if (should_register(a)) {
-        rc = register_instance(a, &e);
+    else if (should_announce(a)) {
+        rc = announce_instance(a, &e);
     }
     if (rc < 0) {
         log_line(LVL_WARN, "announce",
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -22,8 +22,8 @@
 
 /* ---- The store ---- */
 
-/* An instance without data waits for its peers first, which have the list
- * compressed.  When hundreds of instances start together, even one page for
+/* Waits for peers to deliver the list, which they send compressed, before the
+ * store is read.  When hundreds of instances start together, even one page for
  * each occupies the store's link for a second.  True: a peer has delivered it.
  */
 static bool
@@ -150,7 +150,8 @@
     return 0;
 }
 
-/* Chooses the peer to follow; false: the store.  A stale replica means that
+/* Chooses the peer to follow, and whether that takes a follower slot; false:
+ * the store.  A stale replica means that
  * the leaders are cut off: the store is read at once, and peers only if the
  * store can't be reached from here.  Trying peers first takes seconds when
  * many are cut off. */
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -313,11 +313,12 @@
     }
 }
 
-/* Applies updates in order of arrival.  An evacuation ends once the upstreams
- * are up to date as of its end.  The revision is read before the messages, so
- * that it covers no message that is still to arrive.  The lock is only tried:
- * its holder may be decoding a long configuration, and packets must not wait
- * for that. */
+/* Applies updates in order of arrival.  An evacuation that was ended stays in
+ * effect until all announcements up to the revision of its end are applied.
+ * The revision is read before the messages, so that it covers no message that
+ * is still to arrive; under the lock, the changes up to it have been posted.
+ * The lock is only tried: its holder may be decoding a long configuration, and
+ * packets must not wait for that. */
 static void
 apply_updates(packets_t *p, duty_t *self)
 {
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Removed items kept; a peer that misses more receives the whole replica. */
+/* Limit of the removed items kept; beyond it the older half is dropped.  A
+ * peer that misses a dropped one receives the whole replica. */
 #define REMOVED_MAX 256
 
 struct replica {
--- a/tagged/send.c
+++ b/tagged/send.c
@@ -79,7 +79,7 @@
                 continue;
             }
             /* Buffer full or packet refused: lost, as in any network; the
-             * sender retransmits it. */
+             * caller retransmits it. */
             counter_add(&s->t->count.send_failed, 1);
             n = 1;
         }
--- a/tagged/serve.c
+++ b/tagged/serve.c
@@ -1,5 +1,6 @@
-/* The serve duty: HTTP (libmicrohttpd).  Readiness has a listener of its own;
- * metrics, status and the replica are on the admin address. */
+/* The serve duty: HTTP (libmicrohttpd).  One listener is for readiness checks,
+ * the other (admin address) for metrics, status and the replica; both answer
+ * every path. */
 #include "kern/reply.h"
 #include "tagged/tagged.h"
 
@@ -13,10 +14,10 @@
 /* Limit of suspended requests; further ones are answered at once. */
 #define WAITING_MAX 128
 #define WAIT_MAX_MS 10000
-/* Step of the replica's confirmation at which a suspended request is answered
- * without a change.  The peer's own followers wait for the confirmation, and
- * ages would otherwise add up along the path to a stale replica.  Smaller
- * steps are not passed on. */
+/* A suspended request is answered without a change once the replica has been
+ * confirmed this much later than at its suspension.  The peer's own followers
+ * wait for the confirmation, and ages would otherwise add up along the path to
+ * a stale replica.  Smaller steps are not passed on. */
 #define CONFIRM_MS 300
 #define STACK_BYTES (128 * 1024)
 
@@ -43,8 +44,8 @@
     ms_t deadline;
 } waiting_request_t;
 
-/* Guarded by LOCK: requests come on the HTTP thread, changes and timeouts on
- * the duty's. */
+/* Guarded by LOCK: requests come on the listeners' threads, changes and
+ * timeouts on the duty's. */
 static struct {
     pthread_mutex_t lock;
     waiting_request_t slot[WAITING_MAX];
--- a/tagged/tagged.h
+++ b/tagged/tagged.h
@@ -1,14 +1,15 @@
-/* tagged: the daemon that serves flows with a tag.  Each file is one duty;
- * duties share only messages, atomic state and the replica.
+/* tagged: the daemon that serves flows with a tag.  Each duty is one thread;
+ * duties share only messages, the state in tagged_t and the replicas.
  *
  *   packets   callers' packets: receive, decide (flow/), send and pace;
  *             probes
- *   follow    follows the store, or a peer that does (source/)
- *   operator  follows the operator's topic of the store in parallel
+ *   follow    follows the store, or a peer (source/)
+ *   operator  follows the operator's topic at the store (watch.c), in parallel
+ *             with follow, unless peers keep the topic current
  *   check     polls another peer for anything newer
  *   announce  keeps the instance's own announcement in the store
  *   serve     HTTP: readiness, metrics, status, the replica for peers
- *   main      signals, start and stop
+ *   main      signals, start and stop (daemon.c)
  *
  * One thread receives, decides and sends: a decision takes less time than
  * handing the packet to another thread would.
@@ -48,11 +49,11 @@
  * has, as far as recorded here, or NULL if that value is not stored. */
 const store_item_t *prev_values_find(const prev_values_t *v, const char *key,
                                      uint64_t after);
-/* Returns the delta from FROM to TO as text on the heap; NULL without memory.
- */
+/* Returns the delta from FROM to TO as base64 text on the heap; NULL without
+ * memory. */
 char *value_delta_make(const char *from, const char *to);
-/* Applies TEXT to FROM; *TO receives the text on the heap.  -EBADMSG:
- * the delta has another base text. */
+/* Applies the delta TEXT to FROM; *TO receives the value on the heap.
+ * -EBADMSG: the delta has another base value. */
 int value_delta_apply(const char *from, const char *text, char **to);
 
 /* ---- The replica: the items of a topic as last read from the store ---- */
@@ -80,9 +81,9 @@
  * AFTER needs the whole replica. */
 bool replica_is_behind(replica_t *r, uint64_t after);
 /* Returns the items newer than revision AFTER as text for a peer.  The text
- * may be sent up to LIFETIME_MS later, and its age allows for that.  With
- * DELTAS, long values are sent as deltas where the previous value is
- * stored.  NULL without memory. */
+ * may be cached and sent up to LIFETIME_MS later; its stated age includes
+ * that. With DELTAS, long values are sent as deltas where the previous value
+ * is stored.  NULL without memory. */
 char *replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
                    bool deltas);
 
@@ -99,8 +100,8 @@
     uint64_t revision; /* of the replica at the time of the request */
 } answer_query_t;
 
-/* True if the cached answer to CACHED, which is AGE old, also answers QUERY.
- * Pure. */
+/* True if the answer that was written for CACHED, AGE ago, also answers QUERY.
+ * Reads nothing but its arguments. */
 bool answer_is_reusable(const answer_query_t *cached, ms_t age,
                         const answer_query_t *query);
 
@@ -123,8 +124,10 @@
 
 void changes_free(void *msg);
 
-/* ---- State that every duty may read; each item has one writer ---- */
+/* ---- State that every duty may read ---- */
 
+/* Each counter has one writer, or is guarded by follow_lock, except those
+ * marked. */
 typedef struct {
     uint64_t received, sent, unreadable, send_failed;
     uint64_t log_lines_limited; /* log lines dropped by the rate limit */
@@ -133,12 +136,14 @@
     uint64_t evicted;     /* packets dropped from the full queue */
     uint64_t probes_skipped;
     uint64_t pauses;
-    uint64_t store_failures, refused_items;
+    uint64_t store_failures; /* of follow and operator: may lose counts */
+    uint64_t refused_items;
     uint64_t peer_calls, peer_failures; /* of follow and check: atomic */
     uint64_t check_updates; /* updates that the followed source had not sent */
     uint64_t updates_deferred;     /* the inbox of packets was full */
     uint64_t followers_redirected; /* peers redirected to followers of this
-                                      instance */
+                                      instance; by the threads of both HTTP
+                                      listeners: may lose counts */
 } tagged_counters_t;
 
 typedef struct {
@@ -239,13 +244,14 @@
 typedef struct {
     addr_t addr;
     void *http;
-    unsigned late_answers; /* consecutive timeouts of whole answers */
+    unsigned late_answers; /* consecutive timeouts */
     bool needs_values;     /* a delta had another base: request full values */
 } peer_client_t;
 
 /* Requests updates from the peer at A through the client C, which is reopened
  * for another peer.  The peer may hold the request for WAIT_MS.  Returns as
- * updates_apply(). */
+ * updates_apply(), or the error of the call.  -ENODATA: the peer has no data
+ * yet.  -EPROTO: the HTTP status is not 200. */
 int updates_poll(tagged_t *t, peer_client_t *c, const addr_t *a, ms_t wait_ms,
                  err_t *e);
 /* The same as a follower of A.  -EREMOTE: A has no free follower slot, and
@@ -269,7 +275,8 @@
  * remain unchanged until sender_flush(). */
 void sender_forward(sender_t *s, ms_t now, const flow_packet_t *in,
                     uint8_t *data, size_t len, const flow_decision_t *d);
-/* Resets a flow.  Callers receive packets at the port that instances use. */
+/* Resets a flow.  The reset is sent to the caller's address, at the port of
+ * flow_addr, where callers receive packets. */
 void sender_reset(sender_t *s, const addr_t *caller, const addr_t *service,
                   uint32_t seq);
 void sender_flush(sender_t *s);
@@ -299,7 +306,7 @@
  * no slot is free. */
 int probes_start(probes_t *p, const flow_out_t *out);
 /* Fills FDS from its start; returns the number of entries.  Lowers *NEXT to
- * the deadline of the first probe to end. */
+ * the earliest deadline, or to 0 if a probe has failed already. */
 size_t probes_poll(const probes_t *p, struct pollfd *fds, ms_t *next);
 /* Completes the probes that were answered, refused or timed out. */
 void probes_check(probes_t *p, probe_done_t *done, void *arg);
--- a/tagged/updates.c
+++ b/tagged/updates.c
@@ -15,8 +15,9 @@
 /* Stall timeout of an answer that has begun. */
 #define PEER_STALL_MS 600
 /* Limit of the timeout's doublings.  The whole replica shares the sender's
- * link with other answers, and a repeated request only transfers it again, so
- * each late answer doubles the timeout, up to this shift. */
+ * link with other answers, and a repeated request only transfers it again.  So
+ * while this instance has no data, each late answer doubles the timeout, up to
+ * this shift. */
 #define LATE_MAX 3
 
 void
@@ -144,7 +145,7 @@
                                          that there are none */
         duty_wake(kern_find(t->kern, "serve"));
     }
-    if (first && n > 0) { /* the list may have been left to peers */
+    if (first && n > 0) { /* they may be waiting for peers' data */
         duty_wake(kern_find(t->kern, "follow"));
         duty_wake(kern_find(t->kern, "operator"));
     }
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -254,7 +254,7 @@
             "Store history lost, reading the list. topic=%s revision=%llu",
             store_topic_name(w->topic), (unsigned long long)after);
         w->needs_resync = true;
-        return 1; /* counts as a change: the list follows after the same pause
+        return 1; /* no failure: watch_once() reads the list without a pause
                    */
     }
     return rc < 0 ? rc : apply_answer(w, &items);
