--- a/siskind/bulk.c
+++ b/siskind/bulk.c
@@ -17,7 +17,7 @@
 #include <zmq.h>
 
 #define Z85_LEN 41
-#define MESSAGE_MAX (CONF_TEXT_MAX + 128 * 1024)
+#define MESSAGE_MAX (CONF_TEXT_MAX + 128 * 1024) /* bytes */
 #define QUEUE_MAX 64          /* queued messages per socket */
 #define FETCH_TIMEOUT_MS 1500 /* wait for an answer */
 #define CANDIDATES_MAX 4      /* peers that have a newer version */
@@ -107,6 +107,8 @@
 
 /* ---- Serving ---- */
 
+/* Returns the version that the requester has.  For a malformed request returns
+ * UINT64_MAX, so that the answer is empty. */
 static uint64_t
 read_request(const char *text)
 {
@@ -238,8 +240,9 @@
     b->n_candidates = i == b->n_candidates ? i + 1 : b->n_candidates;
 }
 
-/* Offers every version to decide, not just the newest: the older ones tell a
- * starting instance which upstreams may hold earlier requests. */
+/* Offers every version to decide, not just the newest: a starting
+ * instance needs the older ones to determine which upstreams may hold earlier
+ * requests. */
 static void
 offer_version(void *arg, const blob_t *text, ms_t age, bool complete)
 {
--- a/siskind/decide.c
+++ b/siskind/decide.c
@@ -223,8 +223,8 @@
     }
 }
 
-/* Passes the members, the time of the last suspicion and the lowest version to
- * core when any of them changed. */
+/* Passes the members, the last time at which ownership was uncertain and the
+ * lowest version to core when any of them changed. */
 static void
 update_core_members(decide_t *c)
 {
--- a/siskind/decide.h
+++ b/siskind/decide.h
@@ -4,7 +4,9 @@
 
 #include "siskind/siskind.h"
 
-#define UPSTREAMS_SHOWN 4096 /* limit of one snapshot */
+/* Limit of the upstreams in a snapshot, and of those examined before serving.
+ */
+#define UPSTREAMS_SHOWN 4096
 
 typedef struct {
     daemon_t *d;
@@ -12,7 +14,7 @@
     core_t *core;
     members_t *members;
     conf_t *conf; /* in force; NULL before the first */
-    ms_t conf_at; /* when it came into force */
+    ms_t conf_at; /* when it came into force at its source */
     port_set_t *ports;
     ms_t ports_at; /* last attempt to open the sockets */
     ms_t now;
--- a/siskind/life.c
+++ b/siskind/life.c
@@ -7,8 +7,8 @@
 /* A joining instance without peers serves after this time, even if the
  * platform's list can't be read. */
 #define NO_PEER_WAIT_MS 10000
-/* A joining instance serves once a version has been in force for this time,
- * even if upstreams have no identity lease yet. */
+/* A joining instance serves once its version has been in force for this time,
+ * counted from conf_at, even if upstreams have no identity lease yet. */
 #define WARMUP_MAX_MS 1500
 /* Interval between counts of pending work; each count scans every flow. */
 #define LEAVE_CHECK_MS 200
--- a/siskind/main.c
+++ b/siskind/main.c
@@ -21,7 +21,8 @@
 #define PACKET_INBOX 4096
 #define CONTROL_INBOX 64
 /* Packets of a pool: a full inbox, and the buffers of the duties at its ends.
- */
+ * Received packets that decide reuses for output stay out of their pool until
+ * send releases them. */
 #define PACKETS (PACKET_INBOX + 256)
 
 #define STOP_TIMEOUT_MS 1500
--- a/siskind/output.c
+++ b/siskind/output.c
@@ -32,7 +32,8 @@
     return p;
 }
 
-/* Keeps a packet that can't be posted for the next output. */
+/* Posts a packet of LEN bytes.  If LEN is negative or send's inbox is full,
+ * the datagram is dropped and its buffer is kept for the next output. */
 static void
 packet_post(decide_t *c, packet_t *p, int len)
 {
--- a/siskind/platform.c
+++ b/siskind/platform.c
@@ -9,7 +9,7 @@
 
 #define WATCH_TIMEOUT_MS 8000 /* long poll of the configuration */
 #define PEERS_FIRST_WAIT_MS 1000
-#define WATCH_PAUSE_MS 200 /* between two reads, always */
+#define WATCH_PAUSE_MS 200 /* after each successful read */
 #define IDLE_MS 500        /* interval of the checks for due calls */
 #define BACKOFF_MIN_MS 200
 #define BACKOFF_MAX_MS 5000
@@ -327,6 +327,7 @@
 {
     daemon_t *d = daemon;
     err_t e = {0};
+    /* Another random sequence than watch's, so that their jitter differs. */
     roster_t r = {.plat = plat_new(d->settings.platform_url),
                   .backoff = {.rng = {.seed = d->self, .count = 1u << 31}},
                   .renewed_at = -LIST_OTHER_MS,
--- a/siskind/receive.c
+++ b/siskind/receive.c
@@ -65,8 +65,11 @@
                         .msg_controllen = sizeof(r->control[i])};
 }
 
-/* Refills the buffers for the next read.  The pool holds more packets than the
- * inbox and the buffers of both duties together, so it is never empty here. */
+/* Refills the buffers for the next read; returns the number of buffers, less
+ * than BATCH if the pool is empty.  The pool holds more packets than decide's
+ * inbox and the buffers of both duties together.  It can only become empty
+ * when many packets that decide reused for output also wait in send's inbox.
+ */
 static int
 refill(receive_t *r)
 {
--- a/siskind/siskind.h
+++ b/siskind/siskind.h
@@ -31,8 +31,11 @@
  * given up. */
 #define STALE_MS 1000
 #define WATCHERS_PER_DATA_CENTRE 2 /* instances that watch the platform */
-#define DRAIN_MS 5000              /* default without a configuration */
-#define LIST_LAG_MS 4000           /* lag of the fabric's list of instances */
+/* Drain period of this instance while it has no configuration. */
+#define DRAIN_MS 5000
+/* Lag of the list of instances in the fabric, the network that spreads
+ * callers' datagrams over the instances. */
+#define LIST_LAG_MS 4000
 
 /* ---- Sockets ---- */
 
@@ -74,7 +77,12 @@
     MSG_LEAVE_DONE /* decide to main: nothing is pending */
 } msg_kind_t;
 
-typedef enum { SOCK_SERVICE, SOCK_RETURN, SOCK_OWN, SOCK_PEER } sock_t;
+typedef enum {
+    SOCK_SERVICE, /* callers' datagrams for a service */
+    SOCK_RETURN,  /* upstreams' datagrams for callers */
+    SOCK_OWN,     /* replies to this instance's own probes and requests */
+    SOCK_PEER     /* messages between instances */
+} sock_t;
 
 /* One datagram, received or to be sent. */
 typedef struct {
@@ -133,7 +141,7 @@
     uint64_t shed[4];       /* by sock_t: decide's inbox was full */
     uint64_t stale_in;      /* older than STALE_MS before the decision */
     uint64_t stale_out;     /* older than STALE_MS when sent */
-    uint64_t too_long;      /* longer than DATAGRAM_MAX */
+    uint64_t too_long;      /* longer than PACKET_MAX */
     uint64_t peer_refused;  /* invalid tag or body of a peer message */
     uint64_t send_full;     /* send's inbox or the pool was exhausted */
     uint64_t send_failed;   /* refused by the kernel */
@@ -143,13 +151,15 @@
     uint64_t bulk_served, bulk_fetched, bulk_refused, bulk_bytes;
 } counters_t;
 
-/* Written by decide, except leave_listed_at; read atomically by others. */
+/* Written by decide, leave_listed_at by roster too; read atomically by others.
+ */
 typedef struct {
     uint64_t version; /* in force */
     uint32_t peers;   /* members besides this instance */
     bool watches;     /* this instance watches the platform */
     bool leaving;
-    /* Written by roster: when the platform accepted "leaving"; 0: not yet. */
+    /* When the platform accepted "leaving", set by roster; 0: not yet, reset
+     * by decide when the instance returns to service. */
     ms_t leave_listed_at;
     bool history_complete; /* core has every version that was ever in force */
 } shared_state_t;
@@ -181,7 +191,8 @@
 void bulk_run(duty_t *self, void *daemon);
 void admin_run(duty_t *self, void *daemon);
 
-/* The source of a bundle. */
+/* The source of a bundle: the texts of one version, with hash and change ID.
+ */
 typedef struct {
     const char *part; /* the duty that received it, for logs */
     const char *from; /* the peer's name or the platform's URL */
