--- a/siskinctl/apply.c
+++ b/siskinctl/apply.c
@@ -322,7 +322,7 @@
     uint64_t revision, base_version;
     int rc = plat_read_config(p, b, &revision, e);
 
-    if (rc < 0) {
+    if (rc < 0) { /* nothing was written yet: no unknown outcome */
         return rc == -EIO ? -EHOSTUNREACH : rc;
     }
     base_version = b->version;
