--- a/tagged/send.c
+++ b/tagged/send.c
@@ -139,9 +139,9 @@
 /* ---- Queued packets ---- */
 
 static queued_packet_t *
-queued_of(paced_packet_t *w)
+queued_of(paced_packet_t *p)
 {
-    return w != NULL ? CONTAINER_OF(w, queued_packet_t, paced) : NULL;
+    return p != NULL ? CONTAINER_OF(p, queued_packet_t, paced) : NULL;
 }
 
 /* Returns a free entry, or that of a packet of the flow with most packets
@@ -149,12 +149,12 @@
 static queued_packet_t *
 make_room(sender_t *s, ms_t now)
 {
-    queued_packet_t *w;
+    queued_packet_t *q;
 
     if (!list_empty(&s->free_list)) {
-        w = CONTAINER_OF(s->free_list.next, queued_packet_t, paced.link);
-        list_remove(&w->paced.link);
-        return w;
+        q = CONTAINER_OF(s->free_list.next, queued_packet_t, paced.link);
+        list_remove(&q->paced.link);
+        return q;
     }
     counter_add(&s->t->count.evicted, 1);
     if (now - s->full_logged_at >= FULL_LOG_MS) {
@@ -168,35 +168,35 @@
 }
 
 static void
-set_packet(queued_packet_t *w, const uint8_t *data, size_t len,
+set_packet(queued_packet_t *q, const uint8_t *data, size_t len,
            const flow_decision_t *d)
 {
-    w->to = d->to;
-    w->upstream = d->upstream;
-    w->len = len;
-    memcpy(w->data, data, len);
+    q->to = d->to;
+    q->upstream = d->upstream;
+    q->len = len;
+    memcpy(q->data, data, len);
 }
 
 static void
 enqueue_packet(sender_t *s, ms_t now, const flow_packet_t *in,
                const uint8_t *data, size_t len, const flow_decision_t *d)
 {
-    queued_packet_t *w = queued_of(pacer_find(s->pacer, in));
+    queued_packet_t *q = queued_of(pacer_find(s->pacer, in));
 
-    if (w != NULL) { /* the later copy acknowledges more */
+    if (q != NULL) { /* the later copy acknowledges more */
         counter_add(&s->t->count.retransmits, 1);
-        set_packet(w, data, len, d);
+        set_packet(q, data, len, d);
         return;
     }
     counter_add(&s->t->count.paced, 1);
-    w = make_room(s, now);
-    set_packet(w, data, len, d);
-    w->paced.caller = in->caller;
-    w->paced.service = in->service;
-    w->paced.seq = in->seq;
-    w->paced.len = in->len;
-    w->paced.bytes = (uint32_t)len + PACKET_PREFIX_LEN + NET_HEAD_BYTES;
-    pacer_push(s->pacer, &w->paced);
+    q = make_room(s, now);
+    set_packet(q, data, len, d);
+    q->paced.caller = in->caller;
+    q->paced.service = in->service;
+    q->paced.seq = in->seq;
+    q->paced.len = in->len;
+    q->paced.bytes = (uint32_t)len + PACKET_PREFIX_LEN + NET_HEAD_BYTES;
+    pacer_push(s->pacer, &q->paced);
 }
 
 void
@@ -216,12 +216,12 @@
 ms_t
 sender_tick(sender_t *s, ms_t now)
 {
-    paced_packet_t *w;
+    paced_packet_t *p;
 
-    while ((w = pacer_pop(s->pacer, now)) != NULL) {
-        queued_packet_t *q = queued_of(w);
+    while ((p = pacer_pop(s->pacer, now)) != NULL) {
+        queued_packet_t *q = queued_of(p);
         send_upstream(s, q->data, q->len, &q->to, q->upstream);
-        list_append(&s->free_list, &w->link); /* not reused before the flush */
+        list_append(&s->free_list, &p->link); /* not reused before the flush */
     }
     sender_flush(s);
     return pacer_next_send(s->pacer);
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -71,26 +71,27 @@
     double mbps = link_mbps > 0 ? link_mbps : DEFAULT_LINK_MBPS;
     ms_t read_ms =
         (ms_t)(LONG_CONFIG_BYTES * 8 / (mbps * 1000)) + READ_MARGIN_MS;
-    watch_timing_t p = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
-                        .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
-                        .coalesce_ms = (ms_t)(COALESCE_SHARE * (double)ms)};
+    watch_timing_t timing = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
+                             .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
+                             .coalesce_ms =
+                                 (ms_t)(COALESCE_SHARE * (double)ms)};
 
     if (topic != TOPIC_OPERATOR) {
-        return p;
+        return timing;
     }
-    p.wait_ms = (ms_t)(WATCH_OPERATOR_SHARE * (double)ms);
-    if (p.wait_ms < (ms_t)(WATCH_SHARE * MIN_CHANGE_MS)) {
-        p.wait_ms = (ms_t)(WATCH_SHARE * MIN_CHANGE_MS);
+    timing.wait_ms = (ms_t)(WATCH_OPERATOR_SHARE * (double)ms);
+    if (timing.wait_ms < (ms_t)(WATCH_SHARE * MIN_CHANGE_MS)) {
+        timing.wait_ms = (ms_t)(WATCH_SHARE * MIN_CHANGE_MS);
     }
-    if (p.stale_ms > ms - read_ms) {
-        p.stale_ms = ms - read_ms;
+    if (timing.stale_ms > ms - read_ms) {
+        timing.stale_ms = ms - read_ms;
     }
     /* Independent of this instance's link: its source's watch may take this
      * long. */
-    if (p.stale_ms < p.wait_ms + PEER_CONFIRM_MS) {
-        p.stale_ms = p.wait_ms + PEER_CONFIRM_MS;
+    if (timing.stale_ms < timing.wait_ms + PEER_CONFIRM_MS) {
+        timing.stale_ms = timing.wait_ms + PEER_CONFIRM_MS;
     }
-    return p;
+    return timing;
 }
 
 void
