--- a/siskinctl/report.c
+++ b/siskinctl/report.c
@@ -137,9 +137,9 @@
         increment(row(r->terminations, field_text(x, "reason")), "times");
     }
     else if (strcmp(x->part, "reach") == 0) {
-        json_t *b = row(r->reach_changes, field_text(x, "why"));
-        json_object_set_new(b, "is", json_string(field_text(x, "is")));
-        increment(b, "times");
+        json_t *change = row(r->reach_changes, field_text(x, "why"));
+        json_object_set_new(change, "is", json_string(field_text(x, "is")));
+        increment(change, "times");
         increment(row(r->upstreams, field_text(x, "upstream")), "beliefs");
     }
     else if (log_matches(x, "routes", "In force")) {
--- a/siskind/siskind.h
+++ b/siskind/siskind.h
@@ -1,5 +1,6 @@
-/* siskind, the daemon: declarations shared by its duties.  Duties communicate
- * only through messages and the shared state below.
+/* siskind, the daemon: declarations shared by its duties.  Each duty is one
+ * thread with a bounded inbox (kern/).  Duties communicate only through
+ * messages and the shared state below.
  *
  *   receive   datagrams from the sockets to decide
  *   decide    owns core and members, and makes every decision
