--- a/siskind/siskind.h
+++ b/siskind/siskind.h
@@ -1,5 +1,6 @@
-/* siskind, the daemon: declarations shared by its duties.  Duties communicate
- * only through messages and the shared state below.
+/* siskind, the daemon: declarations shared by its duties.  Each duty is one
+ * thread with a bounded inbox (kern/).  Duties communicate only through
+ * messages and the shared state below.
  *
  *   receive   datagrams from the sockets to decide
  *   decide    owns core and members, and makes every decision
@@ -31,8 +32,11 @@
  * given up. */
 #define STALE_MS 1000
 #define WATCHERS_PER_DATA_CENTRE 2 /* instances that watch the platform */
-#define DRAIN_MS 5000              /* default without a configuration */
-#define LIST_LAG_MS 4000           /* lag of the fabric's list of instances */
+/* Drain period of this instance while it has no configuration. */
+#define DRAIN_MS 5000
+/* Lag of the list of instances in the fabric, the network that spreads
+ * callers' datagrams over the instances. */
+#define LIST_LAG_MS 4000
 
 /* ---- Sockets ---- */
 
@@ -74,7 +78,12 @@
     MSG_LEAVE_DONE /* decide to main: nothing is pending */
 } msg_kind_t;
 
-typedef enum { SOCK_SERVICE, SOCK_RETURN, SOCK_OWN, SOCK_PEER } sock_t;
+typedef enum {
+    SOCK_SERVICE, /* callers' datagrams for a service */
+    SOCK_RETURN,  /* upstreams' datagrams for callers */
+    SOCK_OWN,     /* replies to this instance's own probes and requests */
+    SOCK_PEER     /* messages between instances */
+} sock_t;
 
 /* One datagram, received or to be sent. */
 typedef struct {
@@ -122,8 +131,8 @@
 control_t *control_new(msg_kind_t kind);
 /* Frees a packet or a control message with its contents. */
 void msg_drop(void *msg);
-/* Posts N, or frees it when the inbox is full. */
-int control_post(duty_t *to, control_t *n);
+/* Posts CTL, or frees it when the inbox is full. */
+int control_post(duty_t *to, control_t *ctl);
 
 /* ---- State that every duty may read ---- */
 
@@ -133,7 +142,7 @@
     uint64_t shed[4];       /* by sock_t: decide's inbox was full */
     uint64_t stale_in;      /* older than STALE_MS before the decision */
     uint64_t stale_out;     /* older than STALE_MS when sent */
-    uint64_t too_long;      /* longer than DATAGRAM_MAX */
+    uint64_t too_long;      /* longer than PACKET_MAX */
     uint64_t peer_refused;  /* invalid tag or body of a peer message */
     uint64_t send_full;     /* send's inbox or the pool was exhausted */
     uint64_t send_failed;   /* refused by the kernel */
@@ -143,13 +152,15 @@
     uint64_t bulk_served, bulk_fetched, bulk_refused, bulk_bytes;
 } counters_t;
 
-/* Written by decide, except leave_listed_at; read atomically by others. */
+/* Written by decide, leave_listed_at by roster too; read atomically by others.
+ */
 typedef struct {
     uint64_t version; /* in force */
     uint32_t peers;   /* members besides this instance */
     bool watches;     /* this instance watches the platform */
     bool leaving;
-    /* Written by roster: when the platform accepted "leaving"; 0: not yet. */
+    /* When the platform accepted "leaving", set by roster; 0: not yet, reset
+     * by decide when the instance returns to service. */
     ms_t leave_listed_at;
     bool history_complete; /* core has every version that was ever in force */
 } shared_state_t;
@@ -181,7 +192,8 @@
 void bulk_run(duty_t *self, void *daemon);
 void admin_run(duty_t *self, void *daemon);
 
-/* The source of a bundle. */
+/* The source of a bundle: the texts of one version, with hash and change ID.
+ */
 typedef struct {
     const char *part; /* the duty that received it, for logs */
     const char *from; /* the peer's name or the platform's URL */
@@ -192,7 +204,7 @@
 
 /* Parses and checks a bundle's text, and posts it to decide if it is newer
  * than the version in force.  Takes ownership of JSON. */
-int offer_bundle(daemon_t *d, char *json, const bundle_source_t *o);
+int offer_bundle(daemon_t *d, char *json, const bundle_source_t *src);
 
 /* ---- Snapshots for operators ---- */
 
@@ -227,11 +239,11 @@
 };
 
 query_t *query_new(query_kind_t kind);
-void query_release(query_t *a);
+void query_release(query_t *q);
 /* Called by decide when the view is complete. */
-void query_done(query_t *a);
+void query_done(query_t *q);
 /* Called by admin.  Returns 0 or -ETIMEDOUT. */
-int query_wait(query_t *a, ms_t ms);
+int query_wait(query_t *q, ms_t ms);
 
 const char *class_name(class_t c);
 const char *refuse_name(refuse_t r);
--- a/tagged/follow.c
+++ b/tagged/follow.c
@@ -22,8 +22,8 @@
 
 /* ---- The store ---- */
 
-/* An instance without data waits for its peers first, which have the list
- * compressed.  When hundreds of instances start together, even one page for
+/* Waits for peers to deliver the list, which they send compressed, before the
+ * store is read.  When hundreds of instances start together, even one page for
  * each occupies the store's link for a second.  True: a peer has delivered it.
  */
 static bool
@@ -117,15 +117,16 @@
 /* Polls the peer at A once.  A peer that does not answer, or whose answer
  * leaves the replica stale, counts as failed. */
 static ms_t
-follow_peer(follow_t *f, const addr_t *a, bool place)
+follow_peer(follow_t *f, const addr_t *a, bool needs_slot)
 {
     ms_t wait = watch_is_stale(&f->watch) ? 0 : PEER_WAIT_MS;
     char text[ADDR_STRLEN];
     err_t e = {0};
     addr_t redirect;
-    int rc = place ? updates_follow(f->t, &f->peer, a, wait, &redirect, &e)
-                   : updates_poll(f->t, &f->peer, a, wait, &e);
-    bool old = rc >= 0 && watch_is_stale(&f->watch);
+    int rc = needs_slot
+                 ? updates_follow(f->t, &f->peer, a, wait, &redirect, &e)
+                 : updates_poll(f->t, &f->peer, a, wait, &e);
+    bool stale = rc >= 0 && watch_is_stale(&f->watch);
 
     f->store_failed = false;
     set_follows_store(f, false);
@@ -136,8 +137,8 @@
         return watch_back_off(&f->watch);
     }
     updates_record_answer(f->t, a,
-                          rc < 0 || old ? SOURCE_FAILED : SOURCE_ANSWERED);
-    if (rc < 0 || old) {
+                          rc < 0 || stale ? SOURCE_FAILED : SOURCE_ANSWERED);
+    if (rc < 0 || stale) {
         log_line(LVL_WARN, "follow",
                  "Peer failed. peer=%s error=\"%s\" "
                  "age_ms=%lld",
@@ -149,12 +150,13 @@
     return 0;
 }
 
-/* Chooses the peer to follow; false: the store.  A stale replica means that
+/* Chooses the peer to follow, and whether that takes a follower slot; false:
+ * the store.  A stale replica means that
  * the leaders are cut off: the store is read at once, and peers only if the
  * store can't be reached from here.  Trying peers first takes seconds when
  * many are cut off. */
 static bool
-pick_peer(follow_t *f, addr_t *a, bool *place)
+pick_peer(follow_t *f, addr_t *a, bool *needs_slot)
 {
     const source_peer_t *p;
 
@@ -165,7 +167,7 @@
     p = sources_followed(&f->t->sources, clock_now());
     if (p != NULL) {
         *a = p->addr;
-        *place = sources_needs_place(&f->t->sources, clock_now());
+        *needs_slot = sources_needs_place(&f->t->sources, clock_now());
     }
     pthread_mutex_unlock(&f->t->follow_lock);
     return p != NULL;
@@ -175,8 +177,8 @@
 follow_once(follow_t *f, bool *from_store)
 {
     addr_t a = {0};
-    bool place = true;
-    bool peer = pick_peer(f, &a, &place);
+    bool needs_slot = true;
+    bool peer = pick_peer(f, &a, &needs_slot);
     char text[ADDR_STRLEN];
 
     if (peer == *from_store) {
@@ -185,7 +187,7 @@
                  peer ? addr_text(&a, text) : "store",
                  (long long)(clock_now() - tagged_current_at(f->t)));
     }
-    return peer ? follow_peer(f, &a, place) : follow_store(f);
+    return peer ? follow_peer(f, &a, needs_slot) : follow_store(f);
 }
 
 /* Applies the changed settings file.  Settings that a running process can't
--- a/tagged/packets.c
+++ b/tagged/packets.c
@@ -313,22 +313,23 @@
     }
 }
 
-/* Applies updates in order of arrival.  An evacuation ends once the upstreams
- * are up to date as of its end.  The revision is read before the messages, so
- * that it covers no message that is still to arrive.  The lock is only tried:
- * its holder may be decoding a long configuration, and packets must not wait
- * for that. */
+/* Applies updates in order of arrival.  An evacuation that was ended stays in
+ * effect until all announcements up to the revision of its end are applied.
+ * The revision is read before the messages, so that it covers no message that
+ * is still to arrive; under the lock, the changes up to it have been posted.
+ * The lock is only tried: its holder may be decoding a long configuration, and
+ * packets must not wait for that. */
 static void
 apply_updates(packets_t *p, duty_t *self)
 {
     bool evacuation_ending = flowset_evacuation_ending(p->flows);
     bool locked =
         evacuation_ending && pthread_mutex_trylock(&p->t->follow_lock) == 0;
-    uint64_t known = 0;
+    uint64_t synced_revision = 0;
     void *msg;
 
     if (locked) {
-        known = replica_revision(p->t->replica[TOPIC_UPSTREAMS]);
+        synced_revision = replica_revision(p->t->replica[TOPIC_UPSTREAMS]);
         pthread_mutex_unlock(&p->t->follow_lock);
     }
     while (duty_take(self, &msg, 1) == 1) {
@@ -336,7 +337,7 @@
         changes_free(msg);
     }
     if (evacuation_ending) {
-        flowset_upstreams_synced(p->flows, known);
+        flowset_upstreams_synced(p->flows, synced_revision);
     }
 }
 
--- a/tagged/replica.c
+++ b/tagged/replica.c
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Removed items kept; a peer that misses more receives the whole replica. */
+/* Limit of the removed items kept; beyond it the older half is dropped.  A
+ * peer that misses a dropped one receives the whole replica. */
 #define REMOVED_MAX 256
 
 struct replica {
@@ -320,11 +321,11 @@
         store_item_t *it = &out->item[i];
         const store_item_t *base =
             prev_values_find(&r->prev_values, it->key, after);
-        char *difference = base != NULL && it->value != NULL
-                               ? value_delta_make(base->value, it->value)
-                               : NULL;
-        if (difference != NULL) {
-            it->value = difference;
+        char *delta = base != NULL && it->value != NULL
+                          ? value_delta_make(base->value, it->value)
+                          : NULL;
+        if (delta != NULL) {
+            it->value = delta;
             it->base_revision = base->revision;
         }
     }
@@ -353,7 +354,7 @@
 
 char *
 replica_text(replica_t *r, ms_t now, uint64_t after, ms_t lifetime_ms,
-             bool differences)
+             bool deltas)
 {
     store_items_t out = {0};
     char *text = NULL;
@@ -365,7 +366,7 @@
     out.item = calloc(r->items.n + 1, sizeof(*out.item));
     if (out.item != NULL) {
         select_items(r, after, &out);
-        if (differences && !out.is_snapshot) {
+        if (deltas && !out.is_snapshot) {
             select_deltas(r, after, &out);
         }
         text = store_items_serialise(&out);
--- a/tagged/watch.c
+++ b/tagged/watch.c
@@ -71,26 +71,27 @@
     double mbps = link_mbps > 0 ? link_mbps : DEFAULT_LINK_MBPS;
     ms_t read_ms =
         (ms_t)(LONG_CONFIG_BYTES * 8 / (mbps * 1000)) + READ_MARGIN_MS;
-    watch_timing_t p = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
-                        .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
-                        .coalesce_ms = (ms_t)(COALESCE_SHARE * (double)ms)};
+    watch_timing_t timing = {.wait_ms = (ms_t)(WATCH_SHARE * (double)ms),
+                             .stale_ms = (ms_t)(STALE_SHARE * (double)ms),
+                             .coalesce_ms =
+                                 (ms_t)(COALESCE_SHARE * (double)ms)};
 
     if (topic != TOPIC_OPERATOR) {
-        return p;
+        return timing;
     }
-    p.wait_ms = (ms_t)(WATCH_OPERATOR_SHARE * (double)ms);
-    if (p.wait_ms < (ms_t)(WATCH_SHARE * MIN_CHANGE_MS)) {
-        p.wait_ms = (ms_t)(WATCH_SHARE * MIN_CHANGE_MS);
+    timing.wait_ms = (ms_t)(WATCH_OPERATOR_SHARE * (double)ms);
+    if (timing.wait_ms < (ms_t)(WATCH_SHARE * MIN_CHANGE_MS)) {
+        timing.wait_ms = (ms_t)(WATCH_SHARE * MIN_CHANGE_MS);
     }
-    if (p.stale_ms > ms - read_ms) {
-        p.stale_ms = ms - read_ms;
+    if (timing.stale_ms > ms - read_ms) {
+        timing.stale_ms = ms - read_ms;
     }
     /* Independent of this instance's link: its source's watch may take this
      * long. */
-    if (p.stale_ms < p.wait_ms + PEER_CONFIRM_MS) {
-        p.stale_ms = p.wait_ms + PEER_CONFIRM_MS;
+    if (timing.stale_ms < timing.wait_ms + PEER_CONFIRM_MS) {
+        timing.stale_ms = timing.wait_ms + PEER_CONFIRM_MS;
     }
-    return p;
+    return timing;
 }
 
 void
@@ -254,7 +255,7 @@
             "Store history lost, reading the list. topic=%s revision=%llu",
             store_topic_name(w->topic), (unsigned long long)after);
         w->needs_resync = true;
-        return 1; /* counts as a change: the list follows after the same pause
+        return 1; /* no failure: watch_once() reads the list without a pause
                    */
     }
     return rc < 0 ? rc : apply_answer(w, &items);
@@ -298,21 +299,21 @@
 operator_run(duty_t *self, void *tagged)
 {
     tagged_t *t = tagged;
-    bool was_reading = false;
+    bool used_store = false;
     watch_t w;
 
     watch_init(&w, t, TOPIC_OPERATOR, (ms_t)t->settings.apply_ms);
     while (!duty_stopping(self)) {
         ms_t pause = watch_fresh_ms(&w);
-        bool reads = ATOMIC_GET(t, follows_store) ||
-                     !ATOMIC_GET(t, store_up) || pause == 0;
-        if (reads) {
+        bool uses_store = ATOMIC_GET(t, follows_store) ||
+                          !ATOMIC_GET(t, store_up) || pause == 0;
+        if (uses_store) {
             /* Peers delivered the topic so far: a watch from their revision
              * may transfer several versions. */
-            w.needs_resync = w.needs_resync || !was_reading;
+            w.needs_resync = w.needs_resync || !used_store;
             pause = watch_once(&w);
         }
-        was_reading = reads;
+        used_store = uses_store;
         if (pause > 0) {
             duty_wait(self, NULL, 0, pause);
         }
