--- a/plat/apply.c
+++ b/plat/apply.c
@@ -44,7 +44,7 @@
         if (rc < 0 || head == NULL) {
             return rc;
         }
-        rc = store_read(p, head, b, l, e);
+        rc = stored_head_read(p, head, b, l, e);
         free(head);
     }
     return rc;
@@ -63,7 +63,7 @@
 {
     layout_t l;
 
-    return store_read(p, value, b, &l, e);
+    return stored_head_read(p, value, b, &l, e);
 }
 
 /* ---- History ---- */
@@ -109,7 +109,7 @@
 save_history(plat_t *p, const conf_bundle_t *cur, const layout_t *layout)
 {
     char key[64];
-    char *old, *json = store_head(cur, layout);
+    char *old, *json = stored_head_write(cur, layout);
     uint64_t revision;
 
     history_key(key, sizeof(key), cur->version);
@@ -194,7 +194,7 @@
     char *json;
 
     memcpy(a->layout.revision, seen->revision, sizeof(seen->revision));
-    json = store_head(&a->cur, &a->layout);
+    json = stored_head_write(&a->cur, &a->layout);
     if (json != NULL && a->cur.n > 0) {
         plat_put(a->p, PLAT_CONFIG_KEY, json, a->revision, &revision, NULL);
     }
@@ -223,7 +223,7 @@
 write_head(apply_t *a, const layout_t *next)
 {
     uint64_t revision;
-    char *json = store_head(a->b, next);
+    char *json = stored_head_write(a->b, next);
     int rc;
 
     if (json == NULL || strlen(json) > PLAT_VALUE_MAX) {
--- a/plat/store.c
+++ b/plat/store.c
@@ -122,7 +122,7 @@
 }
 
 char *
-store_head(const conf_bundle_t *b, const layout_t *l)
+stored_head_write(const conf_bundle_t *b, const layout_t *l)
 {
     json_t *o = l->n > 0 ? bundle_head_json(b) : bundle_json(b);
     char *text;
@@ -226,8 +226,8 @@
 }
 
 int
-store_read(plat_t *p, const char *head, conf_bundle_t *b, layout_t *l,
-           err_t *e)
+stored_head_read(plat_t *p, const char *head, conf_bundle_t *b, layout_t *l,
+                 err_t *e)
 {
     json_t *o = json_loads(head, 0, NULL);
     int rc;
--- a/plat/store.h
+++ b/plat/store.h
@@ -83,9 +83,10 @@
 /* Reads the bundle and layout of a head.  -ESTALE: a slot does not hold the
  * part that the head refers to, because a read of either was stale; read the
  * head again. */
-int store_read(plat_t *p, const char *head, conf_bundle_t *b, layout_t *l,
-               err_t *e);
-char *store_head(const conf_bundle_t *b, const layout_t *l); /* malloc */
+int stored_head_read(plat_t *p, const char *head, conf_bundle_t *b,
+                     layout_t *l, err_t *e);
+char *stored_head_write(const conf_bundle_t *b,
+                        const layout_t *l); /* malloc */
 
 /* ---- slots.c ---- */
 
--- a/test/plat_test.cc
+++ b/test/plat_test.cc
@@ -488,7 +488,7 @@
         bundle_free(&w.now.b);
         ASSERT_EQ(
             0, plat_get(w.p, PLAT_CONFIG_KEY, 0, 0, &head, &w.revision, NULL));
-        ASSERT_EQ(0, store_read(w.p, head, &w.now.b, &w.cur, NULL));
+        ASSERT_EQ(0, stored_head_read(w.p, head, &w.now.b, &w.cur, NULL));
         free(head);
         w.state = 1;
     }
@@ -504,7 +504,7 @@
     int
     write_head(Writer &w)
     {
-        char *json = store_head(&w.next.b, &w.after);
+        char *json = stored_head_write(&w.next.b, &w.after);
         uint64_t r;
         int rc = plat_put(w.p, PLAT_CONFIG_KEY, json, w.revision, &r, NULL);
         free(json);
