--- a/base/base.c
+++ b/base/base.c
@@ -99,7 +99,7 @@
 
 /* Values 0 to 3 have a bucket each; above, each power of two has 4 buckets. */
 static int
-hist_slot(uint64_t v)
+hist_bucket(uint64_t v)
 {
     int log;
     int i;
@@ -117,7 +117,7 @@
 {
     h->count++;
     h->sum += v;
-    h->slot[hist_slot(v)]++;
+    h->slot[hist_bucket(v)]++;
 }
 
 uint64_t
