--- a/conf/toml.cc
+++ b/conf/toml.cc
@@ -47,7 +47,7 @@
 // Replaces NUL bytes: C callers see a string up to its first NUL, so a key or
 // value with a NUL inside would be accepted as its prefix.
 static std::string
-printable(std::string_view s)
+replace_nul(std::string_view s)
 {
     std::string out(s);
     std::replace(out.begin(), out.end(), '\0', '?');
@@ -61,7 +61,7 @@
     if (const toml::table *t = from.as_table()) {
         n->kind = TOML_TABLE;
         for (auto &&[key, value] : *t) {
-            n->keys.push_back(printable(key.str()));
+            n->keys.push_back(replace_nul(key.str()));
             n->key_lines.push_back((int)key.source().begin.line);
             n->children.push_back(std::make_unique<toml_node>());
             node_fill(n->children.back().get(), value);
@@ -76,7 +76,7 @@
     }
     else if (auto *s = from.as_string()) {
         n->kind = TOML_STRING;
-        n->text = printable(s->get());
+        n->text = replace_nul(s->get());
     }
     else if (auto *i = from.as_integer()) {
         n->kind = TOML_INTEGER;
