--- a/kern/duty.c
+++ b/kern/duty.c
@@ -217,9 +217,9 @@
 /* Marks D as asleep.  Returns true if D may sleep: the inbox is empty and no
  * stop was requested. */
 static bool
-prepare_sleep(duty_t *d, sleep_mode_t how)
+prepare_sleep(duty_t *d, sleep_mode_t mode)
 {
-    __atomic_store_n(&d->asleep, how, __ATOMIC_SEQ_CST);
+    __atomic_store_n(&d->asleep, mode, __ATOMIC_SEQ_CST);
     __atomic_thread_fence(__ATOMIC_SEQ_CST);
     return duty_depth(d) == 0 && !duty_stopping(d);
 }
--- a/kern/pool.c
+++ b/kern/pool.c
@@ -9,7 +9,7 @@
     ck_ring_t returned; /* slots returned by any thread */
     ck_ring_buffer_t *ring_buffer;
     void **free_slots; /* stack, private to the thread of pool_get() */
-    unsigned n;
+    unsigned n_free;
     char *memory;
 };
 
@@ -35,7 +35,7 @@
     }
     ck_ring_init(&p->returned, ring_size);
     for (unsigned i = 0; i < n; i++) {
-        p->free_slots[p->n++] = p->memory + i * size;
+        p->free_slots[p->n_free++] = p->memory + i * size;
     }
     return p;
 }
@@ -58,9 +58,9 @@
     void *slot;
 
     while (ck_ring_dequeue_mpsc(&p->returned, p->ring_buffer, &slot)) {
-        p->free_slots[p->n++] = slot;
+        p->free_slots[p->n_free++] = slot;
     }
-    return p->n > 0 ? p->free_slots[--p->n] : NULL;
+    return p->n_free > 0 ? p->free_slots[--p->n_free] : NULL;
 }
 
 void
