--- a/plat/apply.c
+++ b/plat/apply.c
@@ -184,9 +184,10 @@
     return rc;
 }
 
-/* Records the revisions of the slots taken, without a new version.  Writers
- * that took them for a head based on the current one can no longer write that
- * head, so the slots are free again. */
+/* Writes the current head again, with the revisions of the slots that other
+ * writers have written and without a new version.  Those writers' heads are
+ * based on the former revision of the head and can no longer be written, so
+ * the slots are free again. */
 static void
 record_slot_revisions(apply_t *a, const layout_t *seen)
 {
--- a/plat/http.h
+++ b/plat/http.h
@@ -38,7 +38,8 @@
 typedef struct {
     long status;
     char *body;       /* NUL-terminated; valid until the next call */
-    ms_t transfer_ms; /* from the first bytes to the end */
+    ms_t transfer_ms; /* from the body's first bytes to its end; 0 without
+                       * STALL_TIMEOUT_MS */
 } http_reply_t;
 
 /* URL as "http://127.0.0.1:8500", shorter than 128 bytes.  A handle may be
@@ -46,7 +47,8 @@
 http_t *http_new(const char *url);
 void http_free(http_t *h);
 /* 0 for any status below 500.  -ECONNREFUSED: the server was not reached;
- * -ETIMEDOUT, -EIO: the call may have taken effect. */
+ * -ETIMEDOUT, -EIO (also for a status from 500): the call may have taken
+ * effect. */
 int http_call(http_t *h, const http_call_t *call, http_reply_t *r, err_t *e);
 /* S with reserved characters percent-encoded, freed by http_escape_free(), or
  * NULL. */
--- a/plat/plat.h
+++ b/plat/plat.h
@@ -46,7 +46,8 @@
 void plat_free(plat_t *p);
 /* Total calls made. */
 uint64_t plat_calls(const plat_t *p);
-/* Total bytes of bodies sent and received. */
+/* Total bytes of bodies sent, and of those received in answers with a status
+ * below 500. */
 uint64_t plat_bytes(const plat_t *p);
 
 /* Reads KEY into *VALUE (freed by the caller; NULL when absent) and *REVISION.
@@ -108,7 +109,7 @@
 /* Limit of deltas kept; at least half as many versions are kept. */
 #define VERSION_STEPS_MAX 8
 
-/* The delta from the preceding version to VERSION. */
+/* The delta from the preceding version to VERSION, or VERSION in full. */
 typedef struct {
     uint64_t version;
     ms_t activated_at; /* when it took effect on this instance */
@@ -131,9 +132,9 @@
 int versions_add(versions_t *v, uint64_t version, ms_t activated_at,
                  char *json);
 /* Stores in OUT the steps from version HAVE to the newest, oldest first, and
- * returns their number, 0 when HAVE is the newest.  When HAVE is not among the
- * versions kept, *FULL is set and the first step is a full version.  Pointers
- * are valid until the next versions_add(). */
+ * returns their number, 0 when HAVE is the newest or later.  When HAVE is not
+ * among the versions kept, *FULL is set and the first step is a full version.
+ * Pointers are valid until the next versions_add(). */
 size_t versions_steps(const versions_t *v, uint64_t have, bool *full,
                       const version_step_t *out[VERSION_STEPS_MAX + 1]);
 
@@ -184,7 +185,10 @@
  * that ID counts as success.
  * EXPECT is the version that the operator edited, 0 for none.
  * -EAGAIN: another operator's version came first; *THEIRS (if not NULL)
- * receives it, and nothing was written.
+ * receives it, and nothing was written.  *THEIRS is empty when other writers
+ * changed the key at each attempt, but not the version.
+ * -ESTALE: the platform still returns a version before EXPECT, or stale parts.
+ * -ENOSPC: other writers have taken all free slots for the texts.
  * -EINVAL: B is invalid or must not follow the version in force.
  * -ECONNREFUSED, -EHOSTUNREACH: unreachable, nothing was written.
  * -EIO: the outcome is unknown; call again with the same change ID.
--- a/plat/slots.c
+++ b/plat/slots.c
@@ -9,9 +9,10 @@
  * head is in force, the crashed writer's head can no longer be written, and
  * the slot is free again.
  *
- * A slot is reused only when none of the last PLAT_HISTORY_LEN versions uses
- * it, so that a reader with a stale head, or of an earlier version, still
- * finds the parts.
+ * A slot that one of the last PLAT_HISTORY_LEN versions uses is reused only
+ * when no other is free, so that a reader with a stale head, or of an earlier
+ * version, still finds the parts.  A slot of the version in force is never
+ * reused.
  */
 #include "plat/store.h"
 
@@ -85,9 +86,10 @@
 }
 
 /* After a rejected or unanswered write: whether the slot holds this part, from
- * an earlier attempt of this writer or from another.  If its revision is newer
- * than the one in the head in force, the part can't be overwritten without
- * fencing this writer. */
+ * an earlier attempt of this writer or from another.  The slot's revision must
+ * be newer than the one in the head in force.  Another writer can then
+ * overwrite the part only after a new head has recorded that revision, and a
+ * new head makes this writer's head write fail (fencing). */
 static bool
 already_written(writer_t *w, uint32_t slot, const char *key,
                 const part_t *part)
--- a/plat/versions.c
+++ b/plat/versions.c
@@ -1,7 +1,8 @@
-/* Recent versions, kept as the newest text and the deltas that lead to it.
+/* Recent versions, kept as the newest text, the oldest version in full
+ * (compressed), and the deltas that lead from one to the other.
  *
  * Each delta is computed once, when a version is added, however many peers
- * request it.  Earlier texts are not kept.
+ * request it.  The texts in between are not kept.
  */
 #include "plat/plat.h"
 
@@ -54,8 +55,8 @@
     return rc;
 }
 
-/* Drops the older half of a full array of steps.  Half at a time, since the
- * new oldest version has to be reconstructed and compressed in full. */
+/* If the array of steps is full, drops its older half.  Half at a time, since
+ * the new oldest version has to be reconstructed and compressed in full. */
 static int
 drop_older_half(versions_t *v)
 {
