--- a/conf/conf.h
+++ b/conf/conf.h
@@ -39,9 +39,9 @@
     proto_t proto;
     prefer_t prefer;
     uint16_t urgent_slots; /* slots of each upstream closed to uploads */
-    uint16_t queue; /* limit of requests at an upstream past its slots */
-    uint16_t retry_percent;  /* limit of retries, of forwarded requests */
-    uint16_t caller_share;   /* limit of requests in progress per IP */
+    uint16_t queue; /* limit of requests at an upstream beyond its slots */
+    uint16_t retry_percent;  /* retry limit, % of forwarded requests */
+    uint16_t caller_share;   /* limit of requests in progress per caller IP */
     uint32_t request_ms;     /* timeout of an unanswered request */
     uint32_t flow_idle_ms;   /* idle timeout of a flow */
     uint32_t upload_idle_ms; /* timeout of an upload without a new block */
@@ -90,8 +90,9 @@
 /* Checks that NEW may replace OLD (may be NULL).  An address may move from one
  * service to another, or between a service and an upstream, only if a version
  * without the address is in force in between.  Otherwise an instance that
- * still has OLD would use the address in its former role.  0 or -EINVAL with
- * E. */
+ * still has OLD would use the address in its former role.  A service with
+ * another name counts as another service.  The site must stay the same.
+ * 0, or with E -EINVAL or -ENOMEM. */
 int conf_check_step(const conf_t *old, const conf_t *new_, err_t *e);
 
 /* Returns the overlay TEXT with "draining" of the upstream at A set and all
@@ -126,7 +127,7 @@
     char bind_ip[48];   /* local IP for callers' datagrams, port of the
                          * service; "" binds the service's address */
     addr_t return_addr; /* the fabric sends upstreams' datagrams here */
-    addr_t own_addr;    /* for replies to this instance's probes, requests */
+    addr_t own_addr;    /* receives replies to own probes and requests */
     addr_t peer_addr;   /* UDP: messages between instances */
     addr_t bulk_addr;   /* TCP: configuration between instances (ZeroMQ) */
     addr_t admin_addr;  /* HTTP: metrics, status, drain; loopback */
--- a/conf/tagged.c
+++ b/conf/tagged.c
@@ -15,7 +15,8 @@
 #define RECORDS_MIN 256
 #define RECORDS_MAX 4000000
 
-/* Each asks about twice a second; together they use a small part of a core. */
+/* Each follower sends about two requests a second.  All of them together use a
+ * small part of a core. */
 #define FOLLOWERS_DEFAULT 32
 #define FOLLOWERS_MIN 2
 
--- a/conf/tagged.h
+++ b/conf/tagged.h
@@ -23,10 +23,12 @@
     uint32_t followers;  /* limit of instances that follow this one */
     double link_mbps;    /* rate of the outgoing link; 0: unset */
     /* Time limits, counted from the moment the store has a change. */
-    double apply_ms;   /* until a version is in force */
-    double drain_ms;   /* until a leaving upstream gets no new flow */
+    double apply_ms; /* until a version is in force */
+    double drain_ms; /* until a leaving upstream gets no new flow */
+
     double flow_ttl_s; /* upper bound of a flow's lifetime */
-    /* Limit of new flows at an upstream during warm-up: see flow_spec_t. */
+    /* Limit of new flows a second at an upstream in slow start: its configured
+     * rate times WARM_UP_OVER, plus WARM_UP_SLACK; see flow_spec_t. */
     double warm_up_over, warm_up_slack;
     log_level_t log_level;
     uint32_t n_seeds;
--- a/conf/toml.cc
+++ b/conf/toml.cc
@@ -15,7 +15,7 @@
 // abort the program.  TOML_ASSERT throws instead, and the text is rejected
 // like any other invalid text.  NDEBUG is undefined because toml++ would
 // otherwise skip the checks and read on.  The assertions in noexcept
-// accessors, of which gcc warns, hold for any text.
+// accessors, about which gcc warns, hold for any text.
 #undef NDEBUG
 #define TOML_ASSERT(expr)                                                     \
     ((expr) ? (void)0 : throw std::logic_error("a malformed key or value"))
@@ -25,7 +25,7 @@
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
-#define KEY_DOTS_MAX 32 // per line, outside comments
+#define KEY_DOTS_MAX 32 // per line, except lines that begin with '#'
 
 // A copy of a toml++ node, so that callers see no toml++ type.
 struct toml_node {
