--- a/kern/duty.c
+++ b/kern/duty.c
@@ -26,7 +26,7 @@
     bool started;
     bool stopping;     /* atomic */
     uint32_t asleep;   /* atomic, sleep_mode_t; also a futex */
-    bool wake_pending; /* wake_fd was or will be written, must be read */
+    bool wake_pending; /* a write to wake_fd, done or due, is unread */
     uint64_t refused;  /* atomic; incremented by any sender */
     int wake_fd;
     ck_ring_t ring;
--- a/kern/kern.h
+++ b/kern/kern.h
@@ -31,7 +31,8 @@
     const char *name;
     duty_run_t *run; /* NULL: runs on the caller's own thread */
     void *arg;
-    unsigned inbox_size;         /* ring size, a power of two >= 4 */
+    unsigned inbox_size;         /* ring size, a power of two >= 4; the inbox
+                                  * holds one message less */
     bool single_sender;          /* only one thread sends: SPSC ring */
     void (*free_msg)(void *msg); /* frees a message left in the inbox */
 } duty_spec_t;
@@ -46,7 +47,8 @@
 int kern_add(kern_t *k, const duty_spec_t *spec);
 /* Returns NULL if there is no duty of that name. */
 duty_t *kern_find(const kern_t *k, const char *name);
-/* Starts a thread for each duty, in the order of kern_add(). */
+/* Starts a thread for each duty that has a main function, in the order of
+ * kern_add(). */
 int kern_start(kern_t *k);
 /* Requests all duties to stop and joins them, with a timeout of WAIT_MS for
  * all together.  -ETIMEDOUT: a duty is still in a blocking call; K must not be
@@ -83,6 +85,7 @@
 void duty_finish_sleep(duty_t *d);
 int duty_fd(const duty_t *d);
 
+/* Number of messages in the inbox, and the most that it holds. */
 unsigned duty_depth(const duty_t *d);
 unsigned duty_capacity(const duty_t *d);
 /* Number of messages refused because the inbox was full. */
--- a/kern/udp.c
+++ b/kern/udp.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define SOCKET_BUFFER (1 << 20)
+#define SOCKET_BUFFER (1 << 20) /* bytes, for each direction */
 
 static void
 set_option(int fd, int option, int value)
