--- a/base/base.c
+++ b/base/base.c
@@ -139,7 +139,7 @@
             (unsigned long long)n);
 }
 
-/* Exported bounds: one for each power of two, up to 2^18. */
+/* Exported bounds: one for each power of two, from 2^2 - 1 to 2^19 - 1. */
 #define BOUND_STEP 4
 #define BOUND_LAST 71
 
--- a/base/base.h
+++ b/base/base.h
@@ -1,5 +1,5 @@
-/* base: utilities shared by all parts of siskinfork: time, addresses, errors,
- * hashing, random numbers, intrusive lists, logs, counters and histograms.
+/* base: utilities shared by all parts of siskinfork: time, arrays, addresses,
+ * errors, hashing, random numbers, intrusive lists, logs and histograms.
  */
 #ifndef SISKIN_BASE_H
 #define SISKIN_BASE_H
@@ -150,12 +150,13 @@
 int log_start_writer(int fd);
 /* Number of lines dropped because the buffer was full. */
 uint64_t log_dropped_lines(void);
-/* Flushes the buffer, with a timeout. */
+/* Flushes the buffer, with a timeout, and closes the log. */
 void log_close(void);
 
 /* ---- Histograms ---- */
 
-/* Log-linear: 4 linear buckets for each power of two, from 1 to 2^30. */
+/* Log-linear: 4 linear buckets for each power of two, from 0 to 2^32 - 1.  The
+ * last bucket counts larger values too. */
 #define HIST_SLOTS 124
 typedef struct {
     uint64_t count;
@@ -166,7 +167,7 @@
 void hist_add(hist_t *h, uint64_t v);
 /* Upper bound of the bucket that contains quantile Q (0 to 1). */
 uint64_t hist_quantile(const hist_t *h, double q);
-/* The largest value counted in bucket I. */
+/* Upper bound of bucket I, inclusive. */
 uint64_t hist_bound(int i);
 /* Writes a Prometheus metric without labels; TYPE is "counter" or "gauge". */
 void metric_print(FILE *f, const char *type, const char *name, uint64_t n);
--- a/base/log.c
+++ b/base/log.c
@@ -1,10 +1,11 @@
 /* Logging through log4c: one category, one stream.
  *
  * A tool writes each line to standard error.  A daemon has a writer: lines are
- * stored in a bounded buffer, and a separate thread writes the buffer to
- * standard output.  This way a reader that has stopped, a full pipe or a slow
- * disk delays no decision.  Lines that don't fit into the buffer are dropped
- * and counted; the count is logged once there is room again. */
+ * stored in a bounded buffer, and a separate thread writes the buffer to the
+ * descriptor of log_start_writer().  This way a reader that has stopped, a
+ * full pipe or a slow disk delays no decision.  Lines that don't fit into the
+ * buffer are dropped and counted; the count is logged once there is room
+ * again. */
 #include "base/base.h"
 
 #include <errno.h>
@@ -29,7 +30,8 @@
 static log4c_category_t *category;
 static char prog[64] = "siskin";
 
-/* Writer state.  All fields but THREAD and FD are protected by LOCK. */
+/* Writer state.  LOCK protects all fields but THREAD and FD.  RUNNING and
+ * STOPPING are also read without it. */
 static struct {
     pthread_t thread;
     pthread_mutex_t lock;
