--- a/wire/wire.h
+++ b/wire/wire.h
@@ -56,8 +56,8 @@
 #define COAP_INCOMPLETE COAP_C(4, 8) /* RFC 7959 2.9.2 */
 #define COAP_CONFLICT COAP_C(4, 9)   /* RFC 8132 */
 #define COAP_TOO_LARGE COAP_C(4, 13)
-#define COAP_UNAVAILABLE COAP_C(5, 3) /* "not run"; Max-Age: retry after */
-#define COAP_GW_TIMEOUT COAP_C(5, 4)  /* "outcome unknown" */
+#define COAP_UNAVAILABLE COAP_C(5, 3) /* not run; Max-Age: retry delay */
+#define COAP_GW_TIMEOUT COAP_C(5, 4)  /* outcome unknown */
 
 #define COAP_TOKEN_MAX 8
 #define COAP_NONE UINT32_MAX /* option not present */
@@ -65,8 +65,9 @@
 #define COAP_SEG_MAX 32
 #define COAP_QUERY_MAX 96
 
-/* A CoAP message.  Decoding fills in the options below and skips all others;
- * encoding writes the same options, in the order of their numbers. */
+/* A CoAP message.  Decoding fills in the options below and skips all others,
+ * and truncates a path segment or query that is too long.  Encoding writes the
+ * same options, in the order of their numbers. */
 typedef struct {
     coap_type_t type;
     uint8_t code;
@@ -77,7 +78,7 @@
     uint32_t max_age; /* option 14, seconds, or COAP_NONE */
     uint32_t block1;  /* option 27: num << 4 | more << 3 | szx, or COAP_NONE */
     uint32_t block2;  /* option 23, same layout */
-    uint8_t path_n;   /* number of segments; not used for routing */
+    uint8_t path_n;   /* segments in PATH; not used for routing */
     char path[COAP_PATH_MAX][COAP_SEG_MAX];
     char query[COAP_QUERY_MAX]; /* first Uri-Query, "" when absent */
     const uint8_t *payload;     /* points into the decoded buffer */
@@ -92,10 +93,11 @@
     }
 
 /* -EPROTO: not a valid CoAP message, as libcoap decides, or longer than
- * DATAGRAM_MAX. */
+ * DATAGRAM_MAX; also returned without memory. */
 int coap_decode(coap_msg_t *m, const uint8_t *data, size_t len);
 /* Returns the number of bytes written, or -ENOSPC. */
 int coap_encode(uint8_t *out, size_t cap, const coap_msg_t *m);
+/* True if the path is /A/B, or /A if B is NULL. */
 bool coap_path_is(const coap_msg_t *m, const char *a, const char *b);
 
 static inline bool
@@ -117,11 +119,11 @@
 #define SYNC_PINS_MAX 32 /* pins in one message */
 
 typedef enum {
-    PEER_MEMBER = 1, /* heartbeats and gossip; body owned by member/ */
+    PEER_MEMBER = 1, /* heartbeats and gossip; body encoded by member/ */
     PEER_FORWARD,    /* a client's datagram, forwarded to the flow's owner */
-    PEER_HINT,    /* "send this flow's datagrams to that upstream", leased */
-    PEER_SYNC,    /* pins for the backup owner to store */
-    PEER_SYNC_ACK /* the pins that the backup owner has stored */
+    PEER_HINT,       /* forwarding hint: upstream of a flow, with a lease */
+    PEER_SYNC,       /* pins for the backup owner to store */
+    PEER_SYNC_ACK    /* the pins that the backup owner has stored */
 } peer_kind_t;
 
 typedef enum {
