--- a/conf/toml.cc
+++ b/conf/toml.cc
@@ -15,7 +15,7 @@
 // abort the program.  TOML_ASSERT throws instead, and the text is rejected
 // like any other invalid text.  NDEBUG is undefined because toml++ would
 // otherwise skip the checks and read on.  The assertions in noexcept
-// accessors, of which gcc warns, hold for any text.
+// accessors, about which gcc warns, hold for any text.
 #undef NDEBUG
 #define TOML_ASSERT(expr)                                                     \
     ((expr) ? (void)0 : throw std::logic_error("a malformed key or value"))
@@ -25,7 +25,7 @@
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
-#define KEY_DOTS_MAX 32 // per line, outside comments
+#define KEY_DOTS_MAX 32 // per line, except lines that begin with '#'
 
 // A copy of a toml++ node, so that callers see no toml++ type.
 struct toml_node {
@@ -47,7 +47,7 @@
 // Replaces NUL bytes: C callers see a string up to its first NUL, so a key or
 // value with a NUL inside would be accepted as its prefix.
 static std::string
-printable(std::string_view s)
+replace_nul(std::string_view s)
 {
     std::string out(s);
     std::replace(out.begin(), out.end(), '\0', '?');
@@ -61,7 +61,7 @@
     if (const toml::table *t = from.as_table()) {
         n->kind = TOML_TABLE;
         for (auto &&[key, value] : *t) {
-            n->keys.push_back(printable(key.str()));
+            n->keys.push_back(replace_nul(key.str()));
             n->key_lines.push_back((int)key.source().begin.line);
             n->children.push_back(std::make_unique<toml_node>());
             node_fill(n->children.back().get(), value);
@@ -76,7 +76,7 @@
     }
     else if (auto *s = from.as_string()) {
         n->kind = TOML_STRING;
-        n->text = printable(s->get());
+        n->text = replace_nul(s->get());
     }
     else if (auto *i = from.as_integer()) {
         n->kind = TOML_INTEGER;
--- a/kern/duty.c
+++ b/kern/duty.c
@@ -26,7 +26,7 @@
     bool started;
     bool stopping;     /* atomic */
     uint32_t asleep;   /* atomic, sleep_mode_t; also a futex */
-    bool wake_pending; /* wake_fd was or will be written, must be read */
+    bool wake_pending; /* a write to wake_fd, done or due, is unread */
     uint64_t refused;  /* atomic; incremented by any sender */
     int wake_fd;
     ck_ring_t ring;
@@ -217,9 +217,9 @@
 /* Marks D as asleep.  Returns true if D may sleep: the inbox is empty and no
  * stop was requested. */
 static bool
-prepare_sleep(duty_t *d, sleep_mode_t how)
+prepare_sleep(duty_t *d, sleep_mode_t mode)
 {
-    __atomic_store_n(&d->asleep, how, __ATOMIC_SEQ_CST);
+    __atomic_store_n(&d->asleep, mode, __ATOMIC_SEQ_CST);
     __atomic_thread_fence(__ATOMIC_SEQ_CST);
     return duty_depth(d) == 0 && !duty_stopping(d);
 }
